--- a/crates/routing/src/process/best_paths.rs
+++ b/crates/routing/src/process/best_paths.rs
@@ -1,24 +1,24 @@
-//! The best paths of a service, kept up to date as its engines change.
+//! Keeps the best paths of a service up to date as its engines change.
 
 use crate::process::{
     DataCentre, Holder, PipelinePath, cheapest_path, path_with_first, paths_by_head,
 };
 use std::collections::BTreeMap;
 
-/// A path, and how well its data centre bears the loss of an engine of it.
+/// A path with its redundancy inside its data centre.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RankedPath {
     /// The path.
     pub path: PipelinePath,
-    /// Share of its layers that another engine of its data centre holds too.
+    /// Fraction of the path's layers that another engine of the same data centre also holds.
     pub redundancy: f64,
 }
 
-/// The best paths of one service: those inside each data centre, one for each first engine; where there is none
-/// at all, one over several data centres.
+/// The best paths of one service: inside each data centre, one for each first engine; if there are none at all,
+/// one across several data centres.
 ///
-/// A data centre is searched again only when its own engines change, so that the cost of one change doesn't grow with
-/// the number of data centres.
+/// A data centre is searched again only when its own engines change, so that the cost of one change does not grow
+/// with the number of data centres.
 #[derive(Debug, Default)]
 pub struct BestPaths {
     layers: u32,
@@ -26,7 +26,7 @@
     searches: u64,
 }
 
-/// The paths inside one data centre.
+/// The engines and paths of one data centre.
 #[derive(Debug, Default)]
 struct LocalPaths {
     holders: Vec<Holder>,
@@ -34,7 +34,8 @@
 }
 
 impl BestPaths {
-    /// Takes the engines of the service, in a stable order, and returns the best paths over all `layers`.
+    /// Replaces the engines of the service, which must come in a stable order, and returns the best paths over
+    /// all `layers`.
     pub fn update(&mut self, holders: &[Holder], layers: u32) -> Vec<RankedPath> {
         if self.layers != layers {
             self.layers = layers;
@@ -57,13 +58,13 @@
         paths
     }
 
-    /// The cheapest path inside its data centre that begins with the same part as another one.
+    /// Returns the cheapest path in the data centre of the path `of` that begins with the same part.
     pub fn with_first(&self, of: &PipelinePath) -> Option<PipelinePath> {
         let local = self.local.get(&of.data_centre)?;
         path_with_first(&local.holders, self.layers, of.first())
     }
 
-    /// How often a data centre was searched.
+    /// Returns how often a data centre was searched.
     pub fn searches(&self) -> u64 {
         self.searches
     }
@@ -86,7 +87,7 @@
     RankedPath { path, redundancy }
 }
 
-/// Share of a path's layers that another engine of its data centre holds too.
+/// Returns the fraction of a path's layers that another engine of its data centre also holds.
 fn redundancy(path: &PipelinePath, holders: &[Holder], layers: u32) -> f64 {
     let is_local = |holder: &&Holder| holder.data_centre == path.data_centre;
     let local: Vec<&Holder> = holders.iter().filter(is_local).collect();
--- a/crates/routing/src/process/endpoint.rs
+++ b/crates/routing/src/process/endpoint.rs
@@ -1,15 +1,15 @@
-//! Endpoints as their list tells of them.
+//! Endpoints as described by the endpoint list.
 
 use crate::process::{Incarnation, StartMillis};
 use crate::version::ServiceName;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Id of an endpoint. A restart may keep it: [`Incarnation`] tells incarnations apart.
+/// Id of an endpoint. A restart may keep it: an [`Incarnation`] identifies one start.
 pub type EndpointId = String;
 /// Name of a data centre.
 pub type DataCentre = String;
-/// Counts the orders that an engine has begun since its start.
+/// Number of orders that an engine has begun since its start.
 pub type OrderSequence = u64;
 
 /// Layers `from..to` of a model.
@@ -22,37 +22,37 @@
 }
 
 impl LayerRange {
-    /// Layers `from..to`; empty where `to` isn't above `from`. Empty ranges are all equal.
+    /// Returns the layers `from..to`, or an empty range if `to` isn't above `from`. Empty ranges are all equal.
     pub fn new(from: u32, to: u32) -> LayerRange {
         if to > from { LayerRange { from, to } } else { LayerRange::default() }
     }
 
-    /// How many layers.
+    /// Returns the number of layers.
     pub fn len(self) -> u32 {
         self.to - self.from
     }
 
-    /// Whether there is none.
+    /// Returns whether the range is empty.
     pub fn is_empty(self) -> bool {
         self.to == self.from
     }
 
-    /// Whether `layer` is one of them.
+    /// Returns whether the range contains `layer`.
     pub fn contains(self, layer: u32) -> bool {
         (self.from..self.to).contains(&layer)
     }
 
-    /// The layers that are in both.
+    /// Returns the layers that are in both ranges.
     pub fn intersection(self, other: LayerRange) -> LayerRange {
         LayerRange::new(self.from.max(other.from), self.to.min(other.to))
     }
 
-    /// How many layers are in both.
+    /// Returns how many layers are in both ranges.
     pub fn overlap(self, other: LayerRange) -> u32 {
         self.intersection(other).len()
     }
 
-    /// The smallest range over both; an empty one adds nothing.
+    /// Returns the smallest range that contains both; an empty range adds nothing.
     pub fn hull(self, other: LayerRange) -> LayerRange {
         match (self.is_empty(), other.is_empty()) {
             (true, _) => other,
@@ -62,31 +62,31 @@
     }
 }
 
-/// One lifetime of an endpoint, as the list tells.
+/// One incarnation of an endpoint, as described by the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Its id.
+    /// Id of the endpoint.
     pub id: EndpointId,
-    /// When it started; none where the platform doesn't tell.
+    /// When it started; none if the platform doesn't report it.
     pub started: Option<StartMillis>,
     /// The service that it belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// Leaving: takes no new work.
+    /// Whether it is leaving and takes no new work.
     pub is_leaving: bool,
-    /// Its accelerator, for engines.
+    /// Name of its accelerator, for engines.
     pub card: Option<String>,
     /// The layers that it holds, for engines.
     pub layers: LayerRange,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs at once.
     pub slots: u32,
 }
 
 impl Endpoint {
-    /// The incarnation that the list tells of.
+    /// Returns the incarnation that the entry describes.
     pub fn incarnation(&self) -> Incarnation {
         Incarnation::new(self.id.clone(), self.started)
     }
--- a/crates/routing/src/process/entry_fault.rs
+++ b/crates/routing/src/process/entry_fault.rs
@@ -1,24 +1,23 @@
-//! Why an entry of the list names no endpoint to use.
+//! Why an entry of the list describes no usable endpoint.
 
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::fmt;
 
-/// The most characters that are kept of a value or a name: an id of the longest usual sort is half as
-/// long.
+/// Maximum number of characters kept of a value or a name: twice the length of the longest usual ids.
 pub const FOUND_MOST: usize = 60;
-/// The most characters that are kept of a sentence that may hold such a value.
+/// Maximum number of characters kept of a sentence that may contain such a value.
 pub const DETAIL_MOST: usize = 160;
 
-/// A field of an entry, as its list spells it.
+/// Name of a field of an entry, as the list spells it.
 pub type FieldName = Cow<'static, str>;
 
-/// Why an entry names no endpoint to use.
+/// Why an entry describes no usable endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryFault {
-    /// It can't be read at all.
+    /// The entry can't be read at all.
     Unreadable {
-        /// What is wrong with it.
+        /// Description of the error.
         detail: String,
     },
     /// A field is missing.
@@ -26,48 +25,48 @@
         /// The field.
         field: FieldName,
     },
-    /// A field is of another type, or of a value that it can't have.
+    /// A field has another type, or a value that is not allowed.
     Malformed {
         /// The field.
         field: FieldName,
-        /// What it holds, cut.
+        /// The value found, truncated.
         found: String,
     },
-    /// It doesn't tell the start of its endpoint, though others do, or this one did before.
+    /// The entry gives no start of its endpoint, though others do, or this one did before.
     StartUntold,
 }
 
-/// The sorts of faults, to count them by.
+/// Kinds of faults, as counted in metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// It can't be read at all.
+    /// The entry can't be read at all.
     Unreadable,
     /// A field is missing.
     Missing,
-    /// A field is of another type or value.
+    /// A field has another type, or a value that is not allowed.
     Malformed,
-    /// It doesn't tell the start of its endpoint.
+    /// The entry gives no start of its endpoint.
     StartUntold,
 }
 
 impl EntryFault {
-    /// An entry that can't be read.
+    /// Creates the fault of an entry that can't be read.
     pub fn unreadable(detail: &str) -> EntryFault {
         EntryFault::Unreadable { detail: cut(detail, DETAIL_MOST) }
     }
 
-    /// A field that is missing.
+    /// Creates the fault of a missing field.
     pub fn missing(field: &'static str) -> EntryFault {
         EntryFault::Missing { field: field.into() }
     }
 
-    /// A field that holds `found`.
+    /// Creates the fault of a field that holds `found`.
     pub fn malformed(field: &'static str, found: &str) -> EntryFault {
         EntryFault::Malformed { field: field.into(), found: cut(found, FOUND_MOST) }
     }
 
-    /// Its sort.
+    /// Returns the kind of the fault.
     pub fn kind(&self) -> FaultKind {
         match self {
             EntryFault::Unreadable { .. } => FaultKind::Unreadable,
@@ -77,7 +76,7 @@
         }
     }
 
-    /// The field that it lies in; none where it lies in the entry as a whole.
+    /// Returns the faulty field; none if the fault concerns the entry as a whole.
     pub fn field(&self) -> Option<&str> {
         match self {
             EntryFault::Missing { field } | EntryFault::Malformed { field, .. } => Some(field),
@@ -99,16 +98,16 @@
 
 impl std::error::Error for EntryFault {}
 
-/// The first `most` characters of a text that somebody else wrote, fit for a log line: without
-/// characters that a terminal acts on or shows as nothing.
-pub fn cut(text: &str, most: usize) -> String {
+/// Truncates text from an untrusted source to `max_chars` characters and escapes all but printable ASCII, so that a
+/// terminal shows every character and interprets none.
+pub fn cut(text: &str, max_chars: usize) -> String {
     let escape = |c: char| {
         let is_plain = c.is_ascii_graphic() || c == ' ';
         let escaped = if is_plain { None } else { Some(c.escape_default()) };
         is_plain.then_some(c).into_iter().chain(escaped.into_iter().flatten())
     };
-    let mut short: String = text.chars().take(most).flat_map(escape).collect();
-    if text.chars().nth(most).is_some() {
+    let mut short: String = text.chars().take(max_chars).flat_map(escape).collect();
+    if text.chars().nth(max_chars).is_some() {
         short.push_str(&format!("... ({} bytes)", text.len()));
     }
     short
--- a/crates/routing/src/process/failure_evidence.rs
+++ b/crates/routing/src/process/failure_evidence.rs
@@ -1,22 +1,25 @@
-//! What the reported failure of an engine rests on, and how far another gateway may trust it.
+//! Evidence of a reported engine failure, and how far another gateway may trust it.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What a finding that an engine failed rests on.
+/// Evidence that an engine failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FailureEvidence {
-    /// Its host answered that nothing listens there any more, or its connection was reset.
+    /// Its host refused a connection, as nothing listens there any more, or its connection was reset.
     Refused,
-    /// It gave no answer in time: it may be gone or cut off, or the gateway that asked may be late itself.
+    /// It did not answer in time: it may be dead or unreachable, or the gateway that probed it may be delayed
+    /// itself.
     NoAnswer,
 }
 
 impl FailureEvidence {
-    /// For how long a path through the engine must have had no event before a report of the failure breaks it.
+    /// Returns how long a path through the engine must have had no event before a report of the failure breaks
+    /// it.
     ///
-    /// Events come with each pass of the engines, every 60 to 110 ms. Who finds an engine silent has had no event for two
-    /// passes by then, and neither has anyone else if the engine is gone: a shorter pause refutes the finding.
+    /// Each pass of the engines brings an event, every 60 to 110 ms. A gateway that finds an engine silent has
+    /// had no event for two passes by then, and neither has any other gateway if the engine is dead: a shorter
+    /// pause refutes the report.
     pub fn min_idle(self) -> Duration {
         match self {
             FailureEvidence::Refused => Duration::from_millis(65),
--- a/crates/routing/src/process/incarnation.rs
+++ b/crates/routing/src/process/incarnation.rs
@@ -1,24 +1,24 @@
-//! Tells the incarnations of one endpoint apart.
+//! Identifies the incarnations of one endpoint.
 
 use crate::process::EndpointId;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// When an endpoint started, by its own clock: Unix time in milliseconds. Clocks step, so that a later
-/// start may bear an earlier time: only equality tells anything.
+/// When an endpoint started, by its own clock: Unix time in milliseconds. Clocks step, so a later start may have
+/// an earlier time: compare for equality only.
 pub type StartMillis = u64;
 
-/// One incarnation of an endpoint, from a start to its end. A restart keeps the id and forgets all else.
+/// One incarnation of an endpoint, from a start to its end. A restart keeps the id and loses all state.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
     /// The endpoint.
     pub id: EndpointId,
-    /// Its start; none where the platform doesn't tell it: there each start has an id of its own.
+    /// When it started; none if the platform doesn't report it, where each start has an id of its own.
     pub started: Option<StartMillis>,
 }
 
 impl Incarnation {
-    /// The incarnation of `id` that began at `started`.
+    /// Creates the incarnation of `id` that began at `started`.
     pub fn new(id: impl Into<EndpointId>, started: Option<StartMillis>) -> Incarnation {
         Incarnation { id: id.into(), started }
     }
--- a/crates/routing/src/process/incarnations.rs
+++ b/crates/routing/src/process/incarnations.rs
@@ -1,66 +1,68 @@
-//! Which incarnation of each endpoint is the present one, from news that may be late or contradict each other.
+//! Determines the present incarnation of each endpoint from updates that may be late or contradict each other.
 //!
-//! Starts can't be ordered: clocks step. Entries are ordered by their revision; an answer of the endpoint
-//! itself counts for the instant at which it was asked for. An incarnation that an answer ended is over for good.
-//! One that only entries ended may come back, as the incarnation before may write its entry late.
+//! Starts can't be ordered, because clocks step. Entries are ordered by their revision; an answer of the endpoint
+//! itself counts for the instant at which it was requested. An incarnation that an answer ended is over for good.
+//! One that only entries ended may become present again, as the previous incarnation may have written its entry
+//! late.
 
 use crate::process::{EndpointId, Incarnation, Revision, StartMillis};
 use std::collections::{HashMap, VecDeque};
 use std::time::Instant;
 
-/// The most endpoints whose incarnations are remembered: five times the largest list in use. The one that became
-/// known first is forgotten first.
+/// Maximum number of endpoints whose incarnations are remembered: five times the largest list in use. The
+/// endpoint that was added first is evicted first.
 const MAX_ENDPOINTS: usize = 4_096;
-/// The most ended incarnations of one endpoint that are remembered: news is late by seconds, a start takes some.
+/// Maximum number of ended incarnations remembered per endpoint: updates are late by seconds, and a start takes
+/// some.
 const MAX_ENDED: usize = 8;
-/// Entries of one incarnation that contradict the present one before they are believed without an answer: the
-/// first may have been written late.
-const CONTRADICTIONS_TO_BELIEF: u32 = 2;
+/// Number of entries of one incarnation that must contradict the present one before they are accepted without an
+/// answer: the first may have been written late.
+const MIN_CONTRADICTIONS: u32 = 2;
 
-/// What an entry tells of its endpoint's incarnation.
+/// What an entry shows about its endpoint's incarnation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EntryNews {
-    /// It is of the present incarnation, or of the first one that is known.
+    /// The entry is of the present incarnation, or of the first one that is known.
     Present,
-    /// It tells no start, and nothing of the incarnation.
+    /// The entry gives no start and shows nothing about the incarnation.
     Untold,
-    /// It is of a new incarnation.
+    /// The entry is of a new incarnation.
     Began {
-        /// The incarnation that is over.
+        /// The incarnation that ended.
         ended: Incarnation,
     },
-    /// It is of an incarnation that is over: it changes nothing.
+    /// The entry is outdated, or of an incarnation that is over; it changes nothing.
     Late,
-    /// It is of an incarnation that entries told the end of. Only the endpoint can tell whether it was written
-    /// late; it changes nothing meanwhile.
+    /// The entry is of an incarnation that other entries ended. Only the endpoint can settle whether it was
+    /// written late; it changes nothing meanwhile.
     Contradicts,
 }
 
-/// What an answer of an endpoint tells of its incarnation.
+/// What an answer of an endpoint shows about its incarnation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AnswerNews {
-    /// It is of the present incarnation.
+    /// The answer is of the present incarnation.
     Present {
-        /// Incarnations that only entries had ended, and that are over for good by this.
+        /// Incarnations that only entries had ended, and that this answer confirms to be over for good.
         now_over: Vec<Incarnation>,
     },
-    /// It tells no start, while the entry does: it can't be used.
+    /// The answer gives no start, though the entry does; it can't be used.
     Untold,
-    /// It is of a new incarnation.
+    /// The answer is of a new incarnation.
     Began {
-        /// The incarnation that is over.
+        /// The incarnation that ended.
         ended: Incarnation,
     },
-    /// It was asked for before the present incarnation was known, or is of an incarnation that is over.
+    /// The answer was requested before the present incarnation was known, or is of an incarnation that is over.
     Late,
 }
 
-/// What tells that an incarnation is over.
+/// Evidence that an incarnation ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EndedBy {
     /// An entry of another incarnation.
     Entry,
-    /// An answer of a later incarnation, here or at another process.
+    /// An answer of a later incarnation, received here or by another process.
     Answer,
 }
 
@@ -68,57 +70,59 @@
 struct Ended {
     started: Option<StartMillis>,
     by: EndedBy,
-    /// The incarnation that was found in its place.
+    /// The incarnation that replaced it.
     successor: Option<StartMillis>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Present {
     started: Option<StartMillis>,
-    /// Since when an answer of another incarnation is news: an earlier one may be older than this incarnation.
-    proven: Instant,
+    /// An answer of another incarnation counts only if it was requested after this: an earlier one may be older
+    /// than this incarnation.
+    confirmed_at: Instant,
 }
 
-/// The lives of one endpoint.
+/// The incarnations of one endpoint.
 #[derive(Clone, Debug, Default)]
-struct EndpointLives {
+struct EndpointIncarnations {
     present: Option<Present>,
     ended: VecDeque<Ended>,
-    /// The highest revision of its entry so far.
+    /// Highest revision of its entry so far.
     entry_at: Revision,
-    /// Entries of an incarnation that contradict the present one, since that was last confirmed.
+    /// An incarnation whose entries contradict the present one, and how many did since that was last confirmed.
     contradictions: Option<(Option<StartMillis>, u32)>,
 }
 
-/// The lives of all endpoints.
+/// The incarnations of all endpoints.
 #[derive(Clone, Debug, Default)]
 pub struct Incarnations {
-    endpoints: HashMap<EndpointId, EndpointLives>,
-    /// Endpoints in the order in which they became known.
+    endpoints: HashMap<EndpointId, EndpointIncarnations>,
+    /// Endpoints in the order in which they were added.
     order: VecDeque<EndpointId>,
 }
 
 impl Incarnations {
-    /// The start of an endpoint's present incarnation; the outer none where nothing is known of it.
+    /// Returns the start of an endpoint's present incarnation; the outer option is none if nothing is known of
+    /// it.
     pub fn present(&self, id: &str) -> Option<Option<StartMillis>> {
         Some(self.endpoints.get(id)?.present?.started)
     }
 
-    /// Whether an incarnation is over, as far as any news tells.
+    /// Returns whether an incarnation has ended by any evidence.
     pub fn has_ended(&self, incarnation: &Incarnation) -> bool {
         self.endpoints
             .get(&incarnation.id)
             .is_some_and(|incarnations| incarnations.ended(incarnation.started).is_some())
     }
 
-    /// Whether an incarnation is over for good: an answer of a later one tells it.
+    /// Returns whether an incarnation is over for good, as confirmed by an answer.
     pub fn is_over(&self, incarnation: &Incarnation) -> bool {
         self.endpoints
             .get(&incarnation.id)
             .is_some_and(|incarnations| incarnations.is_over(incarnation.started))
     }
 
-    /// Takes an entry of `incarnation` that was written at `revision` and is read at `now`.
+    /// Applies an entry of `incarnation` that was written at `revision` and is read at `now`.
     pub fn on_entry(
         &mut self,
         incarnation: &Incarnation,
@@ -128,19 +132,19 @@
         self.incarnations(&incarnation.id).on_entry(incarnation, revision, now)
     }
 
-    /// Takes an answer of an endpoint that was asked for at `asked` and came at `now`.
+    /// Applies an answer of an endpoint that was requested at `requested_at` and arrived at `now`.
     pub fn on_answer(
         &mut self,
         id: &str,
         started: Option<StartMillis>,
-        asked: Instant,
+        requested_at: Instant,
         now: Instant,
     ) -> AnswerNews {
-        self.incarnations(id).on_answer(id, started, asked, now)
+        self.incarnations(id).on_answer(id, started, requested_at, now)
     }
 
-    /// Takes from another process that an answer of the incarnation that began at `successor` told the end of
-    /// `ended`. That stays true, however late it is heard. Tells whether the present incarnation changed.
+    /// Applies a report of another process that an answer of the incarnation that began at `successor` ended
+    /// `ended`. The report stays valid however late it arrives. Returns whether the present incarnation changed.
     pub fn on_end_told(
         &mut self,
         ended: &Incarnation,
@@ -150,13 +154,13 @@
         self.incarnations(&ended.id).on_end_told(ended.started, successor, now)
     }
 
-    /// Another endpoint answers at the address of an incarnation: it is over for good, and none is known to follow
-    /// it. Tells whether that is news.
+    /// Marks an incarnation as over for good without a known successor, because another endpoint answers at its
+    /// address. Returns whether that is new.
     pub fn on_replaced(&mut self, incarnation: &Incarnation) -> bool {
         self.incarnations(&incarnation.id).on_replaced(incarnation.started)
     }
 
-    fn incarnations(&mut self, id: &str) -> &mut EndpointLives {
+    fn incarnations(&mut self, id: &str) -> &mut EndpointIncarnations {
         if !self.endpoints.contains_key(id) {
             if self.order.len() >= MAX_ENDPOINTS
                 && let Some(oldest) = self.order.pop_front()
@@ -169,7 +173,7 @@
     }
 }
 
-impl EndpointLives {
+impl EndpointIncarnations {
     fn ended(&self, started: Option<StartMillis>) -> Option<&Ended> {
         self.ended.iter().find(|ended| ended.started == started)
     }
@@ -203,7 +207,7 @@
         if is_known || self.is_over(incarnation.started) {
             return EntryNews::Late;
         }
-        if self.ended(incarnation.started).is_some() && !self.is_believed(incarnation.started) {
+        if self.ended(incarnation.started).is_some() && !self.is_accepted(incarnation.started) {
             return EntryNews::Contradicts;
         }
         self.end(present.started, EndedBy::Entry, incarnation.started);
@@ -211,19 +215,19 @@
         EntryNews::Began { ended: Incarnation::new(incarnation.id.clone(), present.started) }
     }
 
-    /// Counts an entry that contradicts the present incarnation. Whether it is believed now.
-    fn is_believed(&mut self, started: Option<StartMillis>) -> bool {
+    /// Counts an entry that contradicts the present incarnation. Returns whether it is accepted now.
+    fn is_accepted(&mut self, started: Option<StartMillis>) -> bool {
         let before = self.contradictions.filter(|(of, _)| *of == started);
         let count = before.map_or(0, |(_, count)| count) + 1;
         self.contradictions = Some((started, count));
-        count >= CONTRADICTIONS_TO_BELIEF
+        count >= MIN_CONTRADICTIONS
     }
 
     fn on_answer(
         &mut self,
         id: &str,
         started: Option<StartMillis>,
-        asked: Instant,
+        requested_at: Instant,
         now: Instant,
     ) -> AnswerNews {
         let Some(present) = self.present else {
@@ -234,14 +238,14 @@
             return AnswerNews::Present { now_over: Vec::new() };
         };
         if started == present.started {
-            let now_over = self.on_confirmed(present, asked);
+            let now_over = self.on_confirmed(present, requested_at);
             let now_over = now_over.into_iter().map(|ended| Incarnation::new(id, ended));
             return AnswerNews::Present { now_over: now_over.collect() };
         }
         if started.is_none() {
             return AnswerNews::Untold;
         }
-        if self.is_over(started) || asked < present.proven {
+        if self.is_over(started) || requested_at < present.confirmed_at {
             return AnswerNews::Late;
         }
         self.end(present.started, EndedBy::Answer, started);
@@ -249,13 +253,17 @@
         AnswerNews::Began { ended: Incarnation::new(id, present.started) }
     }
 
-    /// An answer confirms the present incarnation: all that were known before it was asked for are over. Tells
-    /// of which that wasn't sure.
-    fn on_confirmed(&mut self, present: Present, asked: Instant) -> Vec<Option<StartMillis>> {
-        if asked < present.proven {
+    /// Handles an answer that confirms the present incarnation: all others that were known before it was
+    /// requested are over. Returns those whose end was not yet confirmed.
+    fn on_confirmed(
+        &mut self,
+        present: Present,
+        requested_at: Instant,
+    ) -> Vec<Option<StartMillis>> {
+        if requested_at < present.confirmed_at {
             return Vec::new();
         }
-        self.present = Some(Present { proven: asked, ..present });
+        self.present = Some(Present { confirmed_at: requested_at, ..present });
         self.contradictions = None;
         let mut now_over = Vec::new();
         for ended in self.ended.iter_mut().filter(|ended| ended.by == EndedBy::Entry) {
@@ -284,15 +292,15 @@
     }
 
     fn on_replaced(&mut self, started: Option<StartMillis>) -> bool {
-        let is_news = !self.is_over(started);
+        let is_new = !self.is_over(started);
         self.end(started, EndedBy::Answer, None);
         if self.present.is_some_and(|present| present.started == started) {
             self.present = None;
         }
-        is_news
+        is_new
     }
 
-    /// The last known of the incarnations that were found one in the place of the other, from `started` on.
+    /// Follows the chain of confirmed successors from `started` and returns the last one known.
     fn latest(&self, started: Option<StartMillis>) -> Option<StartMillis> {
         let mut latest = started;
         for _ in 0..MAX_ENDED {
@@ -306,7 +314,7 @@
 
     fn begin(&mut self, started: Option<StartMillis>, now: Instant) {
         self.ended.retain(|ended| ended.started != started);
-        self.present = Some(Present { started, proven: now });
+        self.present = Some(Present { started, confirmed_at: now });
         self.contradictions = None;
     }
 
--- a/crates/routing/src/process/mod.rs
+++ b/crates/routing/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a process.
+//! State that lives as long as the process.
 
 mod best_paths;
 mod departure;
@@ -11,7 +11,6 @@
 mod lead_term;
 mod leaving;
 mod loop_pauses;
-mod news_source;
 mod path_health;
 mod path_search;
 mod peer_silence;
@@ -23,6 +22,7 @@
 mod revision;
 mod start_rule;
 mod stream_pace;
+mod update_source;
 
 pub use best_paths::*;
 pub use departure::*;
@@ -34,7 +34,6 @@
 pub use lead_term::*;
 pub use leaving::*;
 pub use loop_pauses::*;
-pub use news_source::*;
 pub use path_health::*;
 pub use peer_silence::*;
 pub use pipeline_path::*;
@@ -44,3 +43,4 @@
 pub use revision::*;
 pub use start_rule::*;
 pub use stream_pace::*;
+pub use update_source::*;
--- a/crates/routing/src/process/path_health.rs
+++ b/crates/routing/src/process/path_health.rs
@@ -1,67 +1,67 @@
-//! Whether a path serves, by what is judged of its engines and by the events that come over it.
+//! Health of a path, from suspicions of its engines and from the events that arrive over it.
 
 use std::time::{Duration, Instant};
 
-/// For how long after an event refuted a judgement one that another process reports is not believed.
-const DISTRUST: Duration = Duration::from_secs(1);
+/// How long after an event refuted a suspicion those that other processes report are ignored.
+const DISTRUST_TIME: Duration = Duration::from_secs(1);
 
-/// How a path stands.
+/// State of a path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Serves,
-    /// An engine of it is judged to be dead, and events still come.
+    /// An engine of the path is suspected to be dead, but events still arrive.
     Suspected,
-    /// An engine of it is judged to be dead, and no events come.
+    /// An engine of the path is suspected to be dead, and no events arrive.
     Broken,
 }
 
-/// The health of a path. A judgement of an engine breaks it only while no stream gets an event over it: an event shows that
-/// all engines of the path live.
+/// The health of a path. A suspected engine breaks it only while no stream receives events over it: an event
+/// shows that all engines of the path are alive.
 #[derive(Clone, Copy, Debug)]
 pub struct PathHealth {
     state: State,
-    /// As it was judged last.
-    is_judged_dead: bool,
-    /// When an event last refuted a judgement.
+    /// Whether an engine was suspected at the last update.
+    was_suspected: bool,
+    /// When an event last refuted a suspicion.
     refuted: Option<Instant>,
 }
 
 impl Default for PathHealth {
     fn default() -> PathHealth {
-        PathHealth { state: State::Serves, is_judged_dead: false, refuted: None }
+        PathHealth { state: State::Serves, was_suspected: false, refuted: None }
     }
 }
 
 impl PathHealth {
-    /// Whether its streams should look for other paths.
+    /// Returns whether streams on the path should look for other paths.
     pub fn is_broken(self) -> bool {
         self.state == State::Broken
     }
 
-    /// Takes whether an engine of it is judged to be dead. Only a new judgement counts: one that an event has refuted
-    /// breaks the path no second time.
+    /// Updates whether an engine of the path is suspected to be dead. Only a new suspicion counts: one that an
+    /// event has refuted doesn't break the path a second time.
     pub fn judge(&mut self, is_dead: bool) {
-        let was_dead = std::mem::replace(&mut self.is_judged_dead, is_dead);
+        let was_dead = std::mem::replace(&mut self.was_suspected, is_dead);
         if is_dead && !was_dead && self.state == State::Serves {
             self.state = State::Suspected;
         }
     }
 
-    /// Breaks a suspected path on which no events come. Whether it breaks now.
-    pub fn break_if_suspected(&mut self, is_quiet: bool) -> bool {
-        let breaks = self.state == State::Suspected && is_quiet;
+    /// Breaks a suspected path on which no events arrive. Returns whether it breaks now.
+    pub fn break_if_suspected(&mut self, is_idle: bool) -> bool {
+        let breaks = self.state == State::Suspected && is_idle;
         if breaks {
             self.state = State::Broken;
         }
         breaks
     }
 
-    /// Breaks it, as it is quiet and an engine of it was found dead. Whether it breaks now.
+    /// Breaks the path because it is idle and an engine of it was found dead. Returns whether it breaks now.
     pub fn break_up(&mut self) -> bool {
         std::mem::replace(&mut self.state, State::Broken) != State::Broken
     }
 
-    /// An event came over it. Whether it was broken.
+    /// Records an event on the path. Returns whether the path was broken.
     pub fn on_event(&mut self, now: Instant) -> bool {
         let before = std::mem::replace(&mut self.state, State::Serves);
         if before != State::Serves {
@@ -70,8 +70,8 @@
         before == State::Broken
     }
 
-    /// Whether a judgement that another process reports counts: not right after an event has refuted one.
+    /// Returns whether suspicions reported by other processes count: not right after an event has refuted one.
     pub fn trusts_reports(self, now: Instant) -> bool {
-        self.refuted.is_none_or(|refuted| now.saturating_duration_since(refuted) >= DISTRUST)
+        self.refuted.is_none_or(|refuted| now.saturating_duration_since(refuted) >= DISTRUST_TIME)
     }
 }
--- a/crates/routing/src/process/probe_turn.rs
+++ b/crates/routing/src/process/probe_turn.rs
@@ -1,33 +1,34 @@
-//! Which gateways probe the engines of a path that has gone idle, and when.
+//! Decides which gateways probe the engines of an idle path, and when.
 //!
-//! All gateways with streams over a dead engine miss their events at the same moment. If each probed every engine of the
-//! path, the probes for one fault would grow with the fleet, and so would those for each long pause of a path that is well. A few
-//! probe at once and report what they find; the others probe in their turn, in case these are late or can't reach the engines.
+//! All gateways with streams over a dead engine miss its events at the same moment. If each of them probed every
+//! engine of the path, the probes for one fault would grow with the fleet, and so would those for each long pause
+//! of a healthy path. A few gateways probe at once and report what they find; the others probe later, in turn, in
+//! case the first ones are late or can't reach the engines.
 
 use sorrellock_core::process::membership::rendezvous_weight;
 use std::time::Duration;
 
-/// How long gateways wait from the moment at which the path counts as idle, by the number of gateways that go before:
-/// up to each position, so long.
+/// How long gateways wait from the moment at which the path counts as idle, by the number of gateways ahead of
+/// them: each delay applies below its count.
 const WAVES: [(usize, Duration); 3] =
     [(2, Duration::ZERO), (4, Duration::from_millis(60)), (8, Duration::from_millis(120))];
-/// The same for the ninth.
+/// Delay of the gateway after the last wave.
 const LAST_WAVE: Duration = Duration::from_millis(180);
-/// What each later one leaves to the one before it.
+/// Additional delay of each later gateway.
 const STEP: Duration = Duration::from_millis(10);
-/// The longest wait: a gateway that hears no reports finds a dead engine by then, well before its callers leave.
+/// Maximum delay: a gateway that receives no reports finds a dead engine by then, well before its callers leave.
 const MAX_DELAY: Duration = Duration::from_millis(400);
 
-/// How many of the `others` with streams on a path go before a gateway in probing it. Gateways are told apart by their
-/// incarnations. All agree on the order, which is that of the path's data centre: the same few probe its engines each time,
-/// over connections that they keep.
+/// Returns how many of the `others` with streams on a path probe it before gateway `own`. Gateways are identified
+/// by their incarnations. All agree on the order, which depends on the path's data centre: the same few probe its
+/// engines each time, over connections that they keep open.
 pub fn probers_before(data_centre: &str, own: u64, others: impl Iterator<Item = u64>) -> usize {
     let weight = |gateway| (rendezvous_weight(data_centre.as_bytes(), gateway), gateway);
     let own = weight(own);
     others.filter(|other| weight(*other) > own).count()
 }
 
-/// How long a gateway waits before it probes an idle path, with `before` gateways that go first.
+/// Returns how long a gateway waits before it probes an idle path, with `before` gateways ahead of it.
 pub fn probe_delay(before: usize) -> Duration {
     let wave = WAVES.iter().find(|(count, _)| before < *count);
     if let Some((_, delay)) = wave {
--- a/crates/routing/src/process/start_rule.rs
+++ b/crates/routing/src/process/start_rule.rs
@@ -1,24 +1,23 @@
-//! Whether an entry must tell when its endpoint started.
+//! Decides whether an entry must give the start of its endpoint.
 //!
-//! Some platforms give each start an id of its own, and their entries tell no start. On others an id
-//! outlives starts: an entry without a start was written by somebody else there, and can't tell which
-//! incarnation it is of.
+//! On some platforms each start has an id of its own, and entries give no start. On others an id outlives starts:
+//! an entry without a start was written by another party there, and doesn't show which incarnation it belongs to.
 
 use crate::process::Endpoint;
 
-/// Whether more than half of the endpoints tell their start.
+/// Returns whether more than half of the endpoints give their start.
 pub fn do_most_tell_start<'a>(endpoints: impl IntoIterator<Item = &'a Endpoint>) -> bool {
     let mut all: usize = 0;
-    let mut told: usize = 0;
+    let mut with_start: usize = 0;
     for endpoint in endpoints {
         all += 1;
-        told += usize::from(endpoint.started.is_some());
+        with_start += usize::from(endpoint.started.is_some());
     }
-    told * 2 > all
+    with_start * 2 > all
 }
 
-/// Whether an entry lacks a start that it should tell: most endpoints tell theirs, or this one told
-/// it before.
-pub fn is_start_untold(endpoint: &Endpoint, told_before: bool, do_most_tell: bool) -> bool {
-    endpoint.started.is_none() && (do_most_tell || told_before)
+/// Returns whether an entry lacks a start that it should give: most endpoints give theirs, or this one did
+/// before.
+pub fn is_start_untold(endpoint: &Endpoint, had_start: bool, is_start_required: bool) -> bool {
+    endpoint.started.is_none() && (is_start_required || had_start)
 }
--- a/crates/routing/src/process/stream_pace.rs
+++ b/crates/routing/src/process/stream_pace.rs
@@ -1,12 +1,12 @@
-//! How long streams of a service take, by the answers of before.
+//! Estimates how long streams of a service take, from earlier answers.
 
 use std::time::Duration;
 
-/// Weight of the newest answer: the mean of some twenty.
+/// Weight of the newest answer: the mean covers about twenty.
 const NEWEST_WEIGHT: f64 = 0.05;
 
-/// How long streams of a service take for the tokens that are expected of them. Means of both are kept,
-/// not of their quotient: callers' estimates are far off for some, and these would count most.
+/// How long streams of a service take for their expected tokens. Keeps the means of both, not of their quotient:
+/// some callers' estimates are far off, and these would weigh most.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StreamPace {
     means: Option<Means>,
@@ -19,7 +19,7 @@
 }
 
 impl StreamPace {
-    /// A stream of which `tokens` were expected came whole.
+    /// Records a complete stream of which `tokens` were expected.
     pub fn on_answered(&mut self, tokens: f64, took: Duration) {
         let newest = Means { tokens: tokens.max(1.0), seconds: took.as_secs_f64() };
         let means = self.means.get_or_insert(newest);
@@ -27,7 +27,7 @@
         means.seconds += NEWEST_WEIGHT * (newest.seconds - means.seconds);
     }
 
-    /// How long a stream usually takes of which `tokens` are expected; zero before the first answer.
+    /// Returns how long a stream of which `tokens` are expected usually takes; zero before the first answer.
     pub fn usual(&self, tokens: f64) -> Duration {
         let seconds = self.means.map_or(0.0, |means| tokens * means.seconds / means.tokens);
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
