--- a/crates/routing/tests/attempts.rs
+++ b/crates/routing/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! What may be sent again, and what a caller is told.
+//! Which requests may be sent again, and which outcome a caller receives.
 
 mod common;
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn not_run_is_told_only_of_what_ran_nowhere() {
+fn not_run_is_reported_only_if_the_request_ran_nowhere() {
     let mut attempts = Attempts::new(Semantics::NonIdempotent, 3);
 
     attempts.on_failed(&incarnation("a"), Evidence::NotSent);
@@ -60,7 +60,10 @@
     once.on_failed(&before, Evidence::MayHaveRun);
 
     assert!(stream.may_send_to(&before));
-    assert!(!stream.may_send_to(&after), "the life before counts until it is known to be over");
+    assert!(
+        !stream.may_send_to(&after),
+        "the previous incarnation counts until it is known to be over"
+    );
     stream.forget_lost(|incarnation| *incarnation == before);
     assert!(stream.may_send_to(&after));
     once.forget_lost(|incarnation| *incarnation == before);
@@ -69,7 +72,7 @@
 }
 
 #[test]
-fn a_request_is_sent_so_often_at_most() {
+fn the_number_of_sends_is_limited() {
     let mut attempts = Attempts::new(STREAM, 2);
 
     for _ in 0..4 {
@@ -92,22 +95,22 @@
 }
 
 #[test]
-fn looking_at_the_budget_spends_nothing_and_tells_what_a_send_would_meet() {
+fn checking_the_budget_spends_nothing_and_predicts_the_next_send() {
     let bounds = RetryBounds { window: Duration::from_secs(10), ratio: 0.0, slack: 5.0 };
     let began = Instant::now();
     let now = began + bounds.window;
     let mut window = RetryWindow::new(bounds, began);
 
-    let looks = (0..10).filter(|_| window.may_spend(now, 1)).count();
+    let checks = (0..10).filter(|_| window.may_spend(now, 1)).count();
     let paid = (0..10).filter(|_| window.try_spend(now, 1)).count();
 
-    assert_eq!(looks, 10);
+    assert_eq!(checks, 10);
     assert_eq!(paid, 4);
     assert!(!window.may_spend(now, 1));
 }
 
 quickcheck! {
-    /// All gateways together stay within the bounds in any window, whoever asks when.
+    /// All gateways together stay within the bounds in any window, whichever of them sends and when.
     fn the_budget_holds_over_all_gateways_in_any_window(asks: Vec<(u8, u8, bool)>) -> bool {
         let bounds = RetryBounds { window: Duration::from_secs(10), ratio: 0.2, slack: 20.0 };
         let began = Instant::now();
@@ -130,7 +133,7 @@
             let within = |all: &[Instant], from: Instant| {
                 all.iter().filter(|at| **at >= from && **at < from + bounds.window).count() as f64
             };
-            // Requests of the window or the one before it pay.
+            // Requests of the window or the one before it count for the budget.
             let paying = within(&requests, *start) + within(&requests, *start - bounds.window);
             within(&repeats, *start) <= bounds.ratio * paying + bounds.slack
         })
--- a/crates/routing/tests/best_paths.rs
+++ b/crates/routing/tests/best_paths.rs
@@ -8,7 +8,7 @@
 
 const LAYERS: u32 = 12;
 
-fn of_two_data_centres() -> Vec<Holder> {
+fn holders_in_two_data_centres() -> Vec<Holder> {
     vec![
         holder("a", "x", 0, 6, 1.0),
         holder("b", "x", 6, 12, 1.0),
@@ -23,7 +23,7 @@
 
 #[test]
 fn each_data_centre_has_paths_of_its_own() {
-    let paths = BestPaths::default().update(&of_two_data_centres(), LAYERS);
+    let paths = BestPaths::default().update(&holders_in_two_data_centres(), LAYERS);
 
     assert_eq!(data_centres(&paths), ["x", "y"]);
     assert!(paths.iter().all(|ranked| ranked.path.crossings == 0));
@@ -41,7 +41,7 @@
 
 #[test]
 fn redundancy_is_the_share_of_layers_that_another_engine_holds() {
-    let paths = BestPaths::default().update(&of_two_data_centres(), LAYERS);
+    let paths = BestPaths::default().update(&holders_in_two_data_centres(), LAYERS);
 
     assert_eq!(paths[0].redundancy, 0.0);
     assert_eq!(paths[1].redundancy, 2.0 / 12.0);
@@ -50,9 +50,9 @@
 #[test]
 fn engines_that_did_not_change_are_not_searched_again() {
     let mut best = BestPaths::default();
-    let before = best.update(&of_two_data_centres(), LAYERS);
+    let before = best.update(&holders_in_two_data_centres(), LAYERS);
 
-    let after = best.update(&of_two_data_centres(), LAYERS);
+    let after = best.update(&holders_in_two_data_centres(), LAYERS);
 
     assert_eq!(after, before);
     assert_eq!(best.searches(), 2);
@@ -61,8 +61,8 @@
 #[test]
 fn the_change_of_one_engine_searches_its_data_centre_alone() {
     let mut best = BestPaths::default();
-    best.update(&of_two_data_centres(), LAYERS);
-    let mut holders = of_two_data_centres();
+    best.update(&holders_in_two_data_centres(), LAYERS);
+    let mut holders = holders_in_two_data_centres();
     holders.remove(3);
 
     let paths = best.update(&holders, LAYERS);
@@ -74,16 +74,16 @@
 #[test]
 fn another_number_of_layers_searches_all() {
     let mut best = BestPaths::default();
-    best.update(&of_two_data_centres(), LAYERS);
+    best.update(&holders_in_two_data_centres(), LAYERS);
 
-    let paths = best.update(&of_two_data_centres(), LAYERS - 1);
+    let paths = best.update(&holders_in_two_data_centres(), LAYERS - 1);
 
     assert_eq!(data_centres(&paths), ["x", "y"]);
     assert!(paths.iter().all(|ranked| ranked.path.parts.last().expect("whole").layers.to == 11));
 }
 
 quickcheck! {
-    /// What is kept from earlier engines never shows: the paths are those of a search from scratch.
+    /// Cached results don't differ: the paths are those of a search from scratch.
     fn a_course_of_changes_ends_like_a_search_from_scratch(course: Vec<Vec<(u8, u8, bool)>>) -> bool {
         let mut best = BestPaths::default();
         course.iter().take(8).all(|seeds| {
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -6,12 +6,12 @@
 use sorrellock_routing::version::{Card, ModelShape};
 use std::time::Duration;
 
-/// The incarnation of an engine that is known by its id alone.
+/// Returns the incarnation of an engine that is known by its id alone.
 pub fn incarnation(id: &str) -> Incarnation {
     Incarnation::new(id, None)
 }
 
-/// An endpoint that is ready, in an incarnation.
+/// Returns an endpoint that is ready, in an incarnation.
 pub fn endpoint(id: &str, started: Option<StartMillis>) -> Endpoint {
     Endpoint {
         id: id.into(),
@@ -26,7 +26,7 @@
     }
 }
 
-/// A model of so many layers of 1,750 MB on four kinds of accelerators.
+/// Returns a model of `layers` layers of 1,750 MB, with four kinds of accelerators.
 pub fn shape(layers: u32) -> ModelShape {
     let card = |name: &str, memory_mb: f64, step_factor: f64| Card {
         name: name.into(),
@@ -55,7 +55,7 @@
     }
 }
 
-/// An engine of a kind that holds `from..to`.
+/// Returns an engine with accelerator `card` that holds `from..to`.
 pub fn engine(shape: &ModelShape, id: &str, card: &str, from: u32, to: u32) -> PlannedEngine {
     let card = shape.card(card).expect("the kind is one of the shape's");
     PlannedEngine {
@@ -68,7 +68,7 @@
     }
 }
 
-/// Empty engines, so many of each kind.
+/// Returns empty engines, the given number of each kind.
 pub fn empty_engines(shape: &ModelShape, counts: &[(&str, usize)]) -> Vec<PlannedEngine> {
     let each = |(card, count): &(&str, usize)| {
         let card = (*card).to_owned();
@@ -78,7 +78,7 @@
     named.map(|(id, card)| engine(shape, &id, &card, 0, 0)).collect()
 }
 
-/// A holder of `from..to` in a data centre.
+/// Returns a holder of `from..to` in a data centre.
 pub fn holder(id: &str, data_centre: &str, from: u32, to: u32, layer_cost: f64) -> Holder {
     Holder {
         incarnation: incarnation(id),
--- a/crates/routing/tests/departure.rs
+++ b/crates/routing/tests/departure.rs
@@ -1,4 +1,4 @@
-//! Streams on a path whose engine leaves: how many are moved, and how many at once.
+//! Streams on a path with a leaving engine: how many are moved, and how many at once.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -7,22 +7,22 @@
 
 const SERVES_FOR: Duration = Duration::from_secs(4);
 const STREAMS: usize = 200;
-/// The longest that a stream has left: three seconds at the mean.
-const LONGEST_REST: Duration = Duration::from_secs(6);
-/// An engine that takes a part over reads the prompts of those that moved meanwhile together.
+/// Maximum time that a stream has left: three seconds on average.
+const MAX_REMAINING: Duration = Duration::from_secs(6);
+/// An engine that takes over a part reads the prompts of streams that moved within this time together.
 const BATCH: Duration = Duration::from_millis(100);
 
-/// When the streams that are still under way move, from the news of the leave on.
+/// Returns when the streams that are still running move, counted from when the leave is known.
 fn moves(seed: u64) -> Vec<Duration> {
     let mut rng = StdRng::seed_from_u64(seed);
     let known = Instant::now();
     let departure = Departure::new(known, SERVES_FOR);
-    let rests = (0..STREAMS).map(|_| {
-        let rest = LONGEST_REST.mul_f64(rng.random_range(0.0..1.0));
+    let remaining_times = (0..STREAMS).map(|_| {
+        let remaining = MAX_REMAINING.mul_f64(rng.random_range(0.0..1.0));
         let move_at = departure.move_at(rng.random_range(0.0..1.0)) - known;
-        (move_at < rest).then_some(move_at)
+        (move_at < remaining).then_some(move_at)
     });
-    rests.flatten().collect()
+    remaining_times.flatten().collect()
 }
 
 #[test]
@@ -41,14 +41,14 @@
         let at_once = |from: &Duration| {
             moves.iter().filter(|at| (*from..*from + BATCH).contains(*at)).count()
         };
-        let most = moves.iter().map(at_once).max().expect("some move");
+        let max_at_once = moves.iter().map(at_once).max().expect("some move");
 
-        assert!(most <= STREAMS / 6, "seed {seed}: {most} at once");
+        assert!(max_at_once <= STREAMS / 6, "seed {seed}: {max_at_once} at once");
     }
 }
 
 #[test]
-fn all_are_moved_before_the_engine_exits_though_the_news_came_a_second_late() {
+fn all_streams_move_before_the_engine_exits_if_its_leave_is_known_a_second_late() {
     let left = Instant::now();
     let known = left + Duration::from_secs(1);
 
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn streams_move_at_once_off_an_engine_that_hardly_serves_on() {
+fn streams_move_at_once_if_the_engine_exits_soon() {
     let known = Instant::now();
 
     assert_eq!(Departure::new(known, Duration::from_secs(1)).move_at(1.0), known);
--- a/crates/routing/tests/dropped_services.rs
+++ b/crates/routing/tests/dropped_services.rs
@@ -1,4 +1,5 @@
-//! Services that a newer configuration drops are known until the last request that an older one admitted is over.
+//! A service that a newer configuration drops stays known until the last request admitted under an older one is
+//! over.
 
 use sorrellock_routing::process::knowledge::Knowledge;
 use sorrellock_routing::version::{CallerLimits, Configuration, Route, Semantics, Service};
@@ -42,7 +43,7 @@
     }
 }
 
-/// A gateway's knowledge after configurations that came into force one after another, each after a time.
+/// Returns a gateway's knowledge after applying configurations, each at its time.
 fn knowledge(changes: Vec<(Instant, Configuration)>) -> Knowledge {
     let mut knowledge = Knowledge::new(Duration::from_secs(2));
     for (at, cfg) in changes {
--- a/crates/routing/tests/entries.rs
+++ b/crates/routing/tests/entries.rs
@@ -1,4 +1,4 @@
-//! Faults of entries, and whether an entry must tell a start.
+//! Faults of entries, and whether an entry must give a start.
 
 mod common;
 
@@ -8,33 +8,33 @@
 };
 
 fn endpoints(with_start: usize, without: usize) -> Vec<Endpoint> {
-    let told = (0..with_start).map(|index| endpoint(&format!("t{index}"), Some(5)));
-    told.chain((0..without).map(|index| endpoint(&format!("u{index}"), None))).collect()
+    let started = (0..with_start).map(|index| endpoint(&format!("t{index}"), Some(5)));
+    started.chain((0..without).map(|index| endpoint(&format!("u{index}"), None))).collect()
 }
 
 #[test]
-fn a_start_is_asked_for_only_where_more_than_half_tell_theirs() {
+fn a_start_is_required_only_if_more_than_half_give_theirs() {
     let table = [(0, 0, false), (0, 9, false), (4, 5, false), (5, 5, false), (5, 4, true)];
 
     for (with_start, without, expected) in table {
-        let most = do_most_tell_start(&endpoints(with_start, without));
+        let is_required = do_most_tell_start(&endpoints(with_start, without));
 
-        assert_eq!(most, expected, "{with_start} with, {without} without");
+        assert_eq!(is_required, expected, "{with_start} with, {without} without");
     }
 }
 
 #[test]
-fn an_endpoint_that_told_its_start_once_must_go_on_to_tell_it() {
-    let (told, untold) = (endpoint("e", Some(5)), endpoint("e", None));
+fn an_endpoint_that_gave_its_start_once_must_keep_giving_it() {
+    let (started, unstarted) = (endpoint("e", Some(5)), endpoint("e", None));
 
-    assert!(is_start_untold(&untold, true, false));
-    assert!(is_start_untold(&untold, false, true));
-    assert!(!is_start_untold(&untold, false, false));
-    assert!(!is_start_untold(&told, true, true));
+    assert!(is_start_untold(&unstarted, true, false));
+    assert!(is_start_untold(&unstarted, false, true));
+    assert!(!is_start_untold(&unstarted, false, false));
+    assert!(!is_start_untold(&started, true, true));
 }
 
 #[test]
-fn what_was_found_is_cut_and_shows_no_control_characters() {
+fn found_values_are_truncated_and_show_no_control_characters() {
     let fault =
         EntryFault::malformed("state", &format!("\u{1b}[2J\n{}", "\u{202e}".repeat(900_000)));
 
--- a/crates/routing/tests/events.rs
+++ b/crates/routing/tests/events.rs
@@ -1,4 +1,4 @@
-//! Streams: whole events only, each once and in order, over two runs.
+//! Event parsing: whole events only, each once and in order, across two runs.
 
 use bytes::Bytes;
 use quickcheck::quickcheck;
@@ -60,8 +60,8 @@
 }
 
 quickcheck! {
-    /// However a stream is cut into chunks, and wherever its first run breaks off, all events come
-    /// once and in order.
+    /// However a stream is split into chunks, and wherever its first run breaks off, all events arrive once and
+    /// in order.
     fn events_come_once_and_in_order_however_they_are_cut(events: u8, cuts: Vec<u8>, end: u16) -> bool {
         let events = u64::from(events % 20) + 1;
         let whole: String = (1..=events).map(event).collect();
--- a/crates/routing/tests/failover.rs
+++ b/crates/routing/tests/failover.rs
@@ -1,4 +1,4 @@
-//! What a stream does that finds no other run.
+//! What a stream does if no other run has begun.
 
 use sorrellock_routing::request::{FailoverStep, NoRun, after_no_run};
 use std::time::{Duration, Instant};
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn nothing_is_tried_from_the_end_on() {
+fn no_retry_is_made_after_the_deadline() {
     let now = Instant::now();
 
     for why in CAUSES {
--- a/crates/routing/tests/failure_evidence.rs
+++ b/crates/routing/tests/failure_evidence.rs
@@ -1,16 +1,16 @@
-//! When a gateway believes another one's finding that an engine failed.
+//! When a gateway accepts another one's report that an engine failed.
 
 use sorrellock_routing::process::FailureEvidence;
 use std::time::Duration;
 
-/// The longest usual time between two passes of a path under load.
+/// Longest usual time between two passes of a path under load.
 const PASS: Duration = Duration::from_millis(110);
-/// How long a path has had no event when a gateway has found an engine of it silent: until it counts as idle, and a
-/// probe's limit.
+/// How long a path has had no event when a gateway has found an engine of it silent: the time until it counts as
+/// idle, and a probe's timeout.
 const IDLE_AT_FINDING: Duration = Duration::from_millis(75 + 90);
 
 #[test]
-fn a_path_that_waits_for_its_next_pass_is_not_broken_by_silence_that_another_gateway_met() {
+fn a_path_that_waits_for_its_next_pass_is_not_broken_by_a_timeout_at_another_gateway() {
     assert!(FailureEvidence::NoAnswer.min_idle() > PASS);
 }
 
--- a/crates/routing/tests/hedging.rs
+++ b/crates/routing/tests/hedging.rs
@@ -1,4 +1,4 @@
-//! When a further attempt may begin beside one that is under way.
+//! When a further attempt may begin in parallel with a pending one.
 
 use sorrellock_routing::request::overdue_after;
 use std::time::Duration;
--- a/crates/routing/tests/incarnations.rs
+++ b/crates/routing/tests/incarnations.rs
@@ -1,4 +1,5 @@
-//! Incarnations of endpoints: what is news, what is late, and what only the endpoint itself can tell.
+//! Incarnations of endpoints: which updates are new, which are late, and which only the endpoint itself can
+//! settle.
 
 mod common;
 
@@ -9,12 +10,12 @@
 use std::time::{Duration, Instant};
 
 const ID: &str = "engine-1";
-/// Starts of three lives. The clock stepped back before the second: starts have no order.
+/// Starts of three incarnations. The clock stepped back before the second: starts have no order.
 const X: StartMillis = 1_790_000_000_500;
 const Y: StartMillis = 1_790_000_000_100;
 const Z: StartMillis = 1_790_000_000_900;
 
-/// A moment of the store's first era.
+/// Returns a revision of the store's first era.
 fn rev(count: u64) -> Revision {
     Revision::new(0, count)
 }
@@ -23,13 +24,13 @@
     Incarnation::new(ID, Some(started))
 }
 
-/// Instants at so many ms after the test's start.
+/// Returns the instants at so many ms after the test's start.
 fn clock() -> impl Fn(u64) -> Instant {
     let began = Instant::now();
     move |ms| began + Duration::from_millis(ms)
 }
 
-/// Incarnations of which the first entry was read at 100 ms.
+/// Returns incarnations of which the first entry was read at 100 ms.
 fn incarnations_of(first: StartMillis, at: &impl Fn(u64) -> Instant) -> Incarnations {
     let mut incarnations = Incarnations::default();
     incarnations.on_entry(&incarnation(first), rev(100), at(100));
@@ -37,13 +38,13 @@
 }
 
 #[test]
-fn an_entry_of_another_life_ends_the_one_before_whatever_its_start() {
+fn an_entry_of_another_incarnation_ends_the_previous_one_whatever_its_start() {
     let at = clock();
     let mut incarnations = incarnations_of(X, &at);
 
-    let news = incarnations.on_entry(&incarnation(Y), rev(116), at(200));
+    let update = incarnations.on_entry(&incarnation(Y), rev(116), at(200));
 
-    assert_eq!(news, EntryNews::Began { ended: incarnation(X) });
+    assert_eq!(update, EntryNews::Began { ended: incarnation(X) });
     assert_eq!(incarnations.present(ID), Some(Some(Y)));
     assert!(incarnations.has_ended(&incarnation(X)));
 }
@@ -54,14 +55,14 @@
     let mut incarnations = incarnations_of(X, &at);
     incarnations.on_entry(&incarnation(Y), rev(116), at(200));
 
-    let news = incarnations.on_entry(&incarnation(X), rev(100), at(300));
+    let update = incarnations.on_entry(&incarnation(X), rev(100), at(300));
 
-    assert_eq!(news, EntryNews::Late);
+    assert_eq!(update, EntryNews::Late);
     assert_eq!(incarnations.present(ID), Some(Some(Y)));
 }
 
 #[test]
-fn an_entry_that_the_life_before_wrote_late_changes_nothing() {
+fn an_entry_that_the_previous_incarnation_wrote_late_changes_nothing() {
     let at = clock();
     let mut incarnations = incarnations_of(X, &at);
     incarnations.on_entry(&incarnation(Y), rev(116), at(200));
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn a_life_that_a_late_entry_seemed_to_end_is_back_once_it_answers() {
+fn an_incarnation_that_a_late_entry_ended_is_present_again_once_it_answers() {
     let at = clock();
     let mut incarnations = incarnations_of(Y, &at);
     incarnations.on_entry(&incarnation(X), rev(117), at(200));
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn where_nobody_answers_the_second_contradicting_entry_is_believed() {
+fn without_an_answer_the_second_contradicting_entry_is_accepted() {
     let at = clock();
     let mut incarnations = incarnations_of(Y, &at);
     incarnations.on_entry(&incarnation(X), rev(117), at(200));
@@ -107,52 +108,52 @@
 }
 
 #[test]
-fn an_answer_that_was_asked_for_before_the_present_life_was_known_is_late() {
+fn an_answer_requested_before_the_present_incarnation_was_known_is_late() {
     let at = clock();
     let mut incarnations = incarnations_of(X, &at);
     incarnations.on_entry(&incarnation(Y), rev(116), at(200));
 
-    let news = incarnations.on_answer(ID, Some(X), at(199), at(250));
+    let update = incarnations.on_answer(ID, Some(X), at(199), at(250));
 
-    assert_eq!(news, AnswerNews::Late);
+    assert_eq!(update, AnswerNews::Late);
     assert_eq!(incarnations.present(ID), Some(Some(Y)));
 }
 
 #[test]
-fn a_life_that_an_answer_ended_is_over_for_good() {
+fn an_incarnation_that_an_answer_ended_is_over_for_good() {
     let at = clock();
     let mut incarnations = incarnations_of(X, &at);
 
-    let news = incarnations.on_answer(ID, Some(Y), at(200), at(210));
+    let update = incarnations.on_answer(ID, Some(Y), at(200), at(210));
     let entries = [117, 118, 119]
         .map(|revision| incarnations.on_entry(&incarnation(X), rev(revision), at(300)));
     let answer = incarnations.on_answer(ID, Some(X), at(400), at(410));
 
-    assert_eq!(news, AnswerNews::Began { ended: incarnation(X) });
-    assert!(entries.iter().all(|news| *news == EntryNews::Late), "{entries:?}");
+    assert_eq!(update, AnswerNews::Began { ended: incarnation(X) });
+    assert!(entries.iter().all(|update| *update == EntryNews::Late), "{entries:?}");
     assert_eq!(answer, AnswerNews::Late);
     assert!(incarnations.is_over(&incarnation(X)));
     assert_eq!(incarnations.present(ID), Some(Some(Y)));
 }
 
 #[test]
-fn an_answer_makes_the_ends_sure_that_entries_told() {
+fn an_answer_confirms_the_ends_that_entries_showed() {
     let at = clock();
     let mut incarnations = incarnations_of(X, &at);
     incarnations.on_entry(&incarnation(Y), rev(116), at(200));
     assert!(!incarnations.is_over(&incarnation(X)));
 
-    let news = incarnations.on_answer(ID, Some(Y), at(201), at(202));
+    let update = incarnations.on_answer(ID, Some(Y), at(201), at(202));
     let again = incarnations.on_answer(ID, Some(Y), at(203), at(204));
 
-    assert_eq!(news, AnswerNews::Present { now_over: vec![incarnation(X)] });
+    assert_eq!(update, AnswerNews::Present { now_over: vec![incarnation(X)] });
     assert_eq!(again, AnswerNews::Present { now_over: Vec::new() });
     assert!(incarnations.is_over(&incarnation(X)));
     assert_eq!(incarnations.on_entry(&incarnation(X), rev(117), at(300)), EntryNews::Late);
 }
 
 #[test]
-fn a_start_that_is_not_told_tells_nothing_where_it_is_known() {
+fn an_update_without_a_start_changes_nothing_where_a_start_is_known() {
     let at = clock();
     let mut incarnations = incarnations_of(X, &at);
 
@@ -165,13 +166,13 @@
 }
 
 #[test]
-fn where_no_start_is_ever_told_nothing_changes() {
+fn updates_without_any_start_are_of_the_present_incarnation() {
     let at = clock();
     let mut incarnations = Incarnations::default();
-    let untold = Incarnation::new(ID, None);
+    let without_start = Incarnation::new(ID, None);
 
-    let entries =
-        [1, 2, 3].map(|revision| incarnations.on_entry(&untold, rev(revision), at(revision)));
+    let entries = [1, 2, 3]
+        .map(|revision| incarnations.on_entry(&without_start, rev(revision), at(revision)));
     let answer = incarnations.on_answer(ID, None, at(10), at(11));
 
     assert_eq!(entries, [EntryNews::Present, EntryNews::Present, EntryNews::Present]);
@@ -179,7 +180,7 @@
 }
 
 #[test]
-fn an_end_that_another_process_tells_holds_however_late_it_is_heard() {
+fn an_end_reported_by_another_process_counts_however_late_it_arrives() {
     let at = clock();
     let mut incarnations = incarnations_of(X, &at);
 
@@ -192,7 +193,7 @@
 }
 
 #[test]
-fn ends_that_are_heard_in_the_wrong_order_lead_to_the_last_incarnation() {
+fn ends_reported_in_the_wrong_order_lead_to_the_last_incarnation() {
     let at = clock();
     let mut incarnations = incarnations_of(X, &at);
 
@@ -203,7 +204,7 @@
 }
 
 #[test]
-fn the_memory_of_lives_is_bounded_and_the_present_one_stays() {
+fn remembered_incarnations_are_limited_and_the_present_one_stays() {
     let at = clock();
     let mut incarnations = incarnations_of(X, &at);
 
@@ -223,22 +224,22 @@
     assert!(incarnations.present("other-10").is_none());
 }
 
-/// What happens to an endpoint, and what is heard of it.
+/// What happens to an endpoint, and which updates on it arrive.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// It starts again.
+    /// The endpoint starts again.
     Starts,
     /// The present incarnation writes its entry.
     Writes,
-    /// An incarnation of before writes its entry late: so many lives ago.
+    /// An earlier incarnation, this many starts ago, writes its entry late.
     WritesLate(u8),
-    /// It is asked, and the answer comes at once.
+    /// The endpoint is polled, and the answer arrives at once.
     Answers,
-    /// It is asked, and the answer comes with the next `AnswerComes`.
-    IsAsked,
-    AnswerComes,
-    /// Another process tells the end of an incarnation so many lives ago.
-    EndIsTold(u8),
+    /// The endpoint is polled, and the answer arrives with the next `AnswerArrives`.
+    IsPolled,
+    AnswerArrives,
+    /// Another process reports the end of the incarnation this many starts ago.
+    EndIsReported(u8),
 }
 
 impl Arbitrary for Event {
@@ -248,34 +249,34 @@
             1 | 2 => Event::Writes,
             3 => Event::WritesLate(u8::arbitrary(g) % 4 + 1),
             4 => Event::Answers,
-            5 => Event::IsAsked,
-            6 => Event::AnswerComes,
-            _ => Event::EndIsTold(u8::arbitrary(g) % 4 + 1),
+            5 => Event::IsPolled,
+            6 => Event::AnswerArrives,
+            _ => Event::EndIsReported(u8::arbitrary(g) % 4 + 1),
         }
     }
 }
 
-/// An endpoint and what one process knows of its lives.
-struct Play {
+/// An endpoint, and what one process knows of its incarnations.
+struct Simulation {
     starts: Vec<StartMillis>,
     incarnations: Incarnations,
     now: Instant,
     revision: u64,
-    /// The answers on their way: the incarnation that gave each, and when it was asked for.
-    on_the_way: Vec<(StartMillis, Instant)>,
+    /// Answers in flight: the incarnation that gave each, and when it was requested.
+    in_flight: Vec<(StartMillis, Instant)>,
 }
 
-impl Play {
-    fn new() -> Play {
-        let mut play = Play {
+impl Simulation {
+    fn new() -> Simulation {
+        let mut simulation = Simulation {
             starts: vec![start(0)],
             incarnations: Incarnations::default(),
             now: Instant::now(),
             revision: 1,
-            on_the_way: Vec::new(),
+            in_flight: Vec::new(),
         };
-        play.incarnations.on_entry(&incarnation(start(0)), rev(1), play.now);
-        play
+        simulation.incarnations.on_entry(&incarnation(start(0)), rev(1), simulation.now);
+        simulation
     }
 
     fn present(&self) -> StartMillis {
@@ -286,7 +287,7 @@
         self.starts.iter().rev().nth(usize::from(ago)).copied()
     }
 
-    fn take(&mut self, event: Event) {
+    fn apply(&mut self, event: Event) {
         self.now += Duration::from_millis(1);
         match event {
             Event::Starts => self.starts.push(start(self.starts.len())),
@@ -299,13 +300,13 @@
             Event::Answers => {
                 self.incarnations.on_answer(ID, Some(self.present()), self.now, self.now);
             }
-            Event::IsAsked => self.on_the_way.push((self.present(), self.now)),
-            Event::AnswerComes => {
-                if let Some((started, asked)) = self.on_the_way.pop() {
-                    self.incarnations.on_answer(ID, Some(started), asked, self.now);
+            Event::IsPolled => self.in_flight.push((self.present(), self.now)),
+            Event::AnswerArrives => {
+                if let Some((started, requested_at)) = self.in_flight.pop() {
+                    self.incarnations.on_answer(ID, Some(started), requested_at, self.now);
                 }
             }
-            Event::EndIsTold(ago) => {
+            Event::EndIsReported(ago) => {
                 if let (Some(ended), Some(by)) = (self.before(ago), self.before(ago - 1)) {
                     self.incarnations.on_end_told(&incarnation(ended), Some(by), self.now);
                 }
@@ -319,33 +320,33 @@
     }
 }
 
-/// Starts in an order that tells nothing.
+/// Returns starts whose order means nothing.
 fn start(index: usize) -> StartMillis {
     (index as StartMillis * 7_919) % 1_009
 }
 
 quickcheck! {
-    /// The incarnation that is present in truth is never over for good, and an answer of it settles all.
-    fn the_present_life_is_never_over_and_its_answer_settles_all(events: Vec<Event>) -> bool {
-        let mut play = Play::new();
+    /// The actual present incarnation is never over for good, and an answer of it settles all.
+    fn the_present_incarnation_is_never_over_and_its_answer_settles_all(events: Vec<Event>) -> bool {
+        let mut simulation = Simulation::new();
         for event in events {
-            play.take(event);
-            if play.incarnations.is_over(&incarnation(play.present())) {
+            simulation.apply(event);
+            if simulation.incarnations.is_over(&incarnation(simulation.present())) {
                 return false;
             }
         }
-        play.take(Event::Answers);
-        play.incarnations.present(ID) == Some(Some(play.present()))
+        simulation.apply(Event::Answers);
+        simulation.incarnations.present(ID) == Some(Some(simulation.present()))
     }
 
-    /// An incarnation that is over for good is not the present one again, as long as it is remembered.
-    fn a_life_that_is_over_never_comes_back(events: Vec<Event>) -> bool {
-        let mut play = Play::new();
+    /// An incarnation that is over for good doesn't become present again as long as it is remembered.
+    fn an_incarnation_that_is_over_never_becomes_present_again(events: Vec<Event>) -> bool {
+        let mut simulation = Simulation::new();
         for event in events.into_iter().take(40) {
-            let over: Vec<StartMillis> = play.starts.iter().copied()
-                .filter(|started| play.incarnations.is_over(&incarnation(*started))).collect();
-            play.take(event);
-            let present = play.incarnations.present(ID).flatten();
+            let over: Vec<StartMillis> = simulation.starts.iter().copied()
+                .filter(|started| simulation.incarnations.is_over(&incarnation(*started))).collect();
+            simulation.apply(event);
+            let present = simulation.incarnations.present(ID).flatten();
             if present.is_some_and(|present| over.contains(&present)) {
                 return false;
             }
--- a/crates/routing/tests/leaving.rs
+++ b/crates/routing/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! What a process that was told to end still takes.
+//! What a process still accepts after its stop signal, and when refused callers retry.
 
 use sorrellock_routing::process::Leaving;
 use std::time::{Duration, Instant};
@@ -69,7 +69,7 @@
     let leaving = leaving(signalled);
     let before_end = |ms| leaving.ends - Duration::from_millis(ms);
     let table = [
-        // Usual time, longest time, time before the end, whether it is taken; all in ms.
+        // Usual time, longest time, time before the exit, whether it is accepted; all in ms.
         (60, 4_000, 1_000, true),
         (60, 4_000, 999, false),
         (400, 4_000, 1_600, true),
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn callers_come_back_at_once_where_half_of_the_data_centre_is_ready() {
+fn callers_retry_at_once_if_half_of_the_data_centre_is_ready() {
     let leaving = leaving(Instant::now());
 
     let wait = leaving.come_back(&seconds(&[0.0, 3.0, 0.0]), &seconds(&[9.0]), leaving.signalled);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn callers_come_back_when_half_of_the_data_centre_will_be_seen_to_be_ready() {
+fn callers_retry_when_half_of_the_data_centre_is_detected_as_ready() {
     let leaving = leaving(Instant::now());
 
     let wait =
@@ -130,7 +130,7 @@
 
     let unseen = wait_at(500, &[]);
     let seen = wait_at(2_200, &[]);
-    // The other one was signalled a second later: its successor is ready 8 s from then.
+    // The other process was signalled a second later: its successor is ready 8 s from then.
     let other_unseen = wait_at(2_200, &[8.0]);
 
     assert_eq!(unseen, Duration::from_millis(1_700));
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn callers_of_a_lone_process_come_back_to_its_successor() {
+fn callers_of_a_lone_process_retry_at_its_successor() {
     let leaving = leaving(Instant::now());
 
     let wait = leaving.come_back(&[], &[], leaving.ends - Duration::from_secs(2));
--- a/crates/routing/tests/loop_pauses.rs
+++ b/crates/routing/tests/loop_pauses.rs
@@ -1,4 +1,4 @@
-//! What is kept of the event loop's pauses.
+//! Recording of the event loop's pauses.
 
 use sorrellock_routing::process::LoopPauses;
 use std::time::{Duration, Instant};
@@ -9,7 +9,7 @@
     Duration::from_millis(ms)
 }
 
-/// A loop at rest until `at`, whose timer is set then.
+/// Returns a loop that is idle until `at`, when its timer is set.
 fn loop_at(at: Instant) -> LoopPauses {
     let mut pauses = LoopPauses::default();
     pauses.on_timer_set(at, at + INTERVAL);
@@ -44,7 +44,7 @@
     assert_eq!(pauses.longest_lag_since(began, began + ms(200)), Duration::ZERO);
 }
 
-/// After a pause, whatever asks may run before the timer does.
+/// After a pause, the caller may run before the timer does.
 #[test]
 fn a_pause_counts_before_the_timer_has_fired() {
     let began = Instant::now();
@@ -87,7 +87,7 @@
     assert_eq!(pauses.longest_lag_since(now - ms(50), now), ms(50));
 }
 
-/// A timer of 15 ms that was 85 ms late: the loop stood still for 85 to 100 ms.
+/// A timer of 15 ms that was 85 ms late: the loop was paused for 85 to 100 ms.
 #[test]
 fn the_sum_counts_late_timers_from_when_they_were_set() {
     let began = Instant::now();
--- a/crates/routing/tests/path_health.rs
+++ b/crates/routing/tests/path_health.rs
@@ -1,17 +1,17 @@
-//! When a judgement of an engine breaks a path.
+//! When the suspicion of an engine breaks a path.
 
 use sorrellock_routing::process::PathHealth;
 use std::time::{Duration, Instant};
 
-fn judged_dead() -> PathHealth {
+fn suspected_path() -> PathHealth {
     let mut health = PathHealth::default();
     health.judge(true);
     health
 }
 
 #[test]
-fn a_judgement_breaks_no_path_that_brings_events() {
-    let mut health = judged_dead();
+fn a_suspicion_breaks_no_path_that_brings_events() {
+    let mut health = suspected_path();
 
     let breaks = health.break_if_suspected(false);
 
@@ -20,8 +20,8 @@
 }
 
 #[test]
-fn a_judgement_breaks_a_path_once_it_is_quiet() {
-    let mut health = judged_dead();
+fn a_suspicion_breaks_a_path_once_it_is_idle() {
+    let mut health = suspected_path();
     health.break_if_suspected(false);
 
     let breaks = health.break_if_suspected(true);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_quiet_path_that_is_not_judged_does_not_break() {
+fn an_idle_path_that_is_not_suspected_does_not_break() {
     let mut health = PathHealth::default();
 
     health.break_if_suspected(true);
@@ -41,8 +41,8 @@
 }
 
 #[test]
-fn an_event_restores_a_broken_path_and_the_same_judgement_breaks_it_no_more() {
-    let mut health = judged_dead();
+fn an_event_restores_a_broken_path_and_the_same_suspicion_does_not_break_it_again() {
+    let mut health = suspected_path();
     health.break_if_suspected(true);
 
     let is_restored = health.on_event(Instant::now());
@@ -54,8 +54,8 @@
 }
 
 #[test]
-fn a_new_judgement_after_one_was_withdrawn_counts() {
-    let mut health = judged_dead();
+fn a_new_suspicion_after_one_was_withdrawn_counts() {
+    let mut health = suspected_path();
     health.on_event(Instant::now());
 
     health.judge(false);
@@ -77,8 +77,8 @@
 }
 
 #[test]
-fn reports_of_others_are_not_trusted_right_after_an_event_refuted_a_judgement() {
-    let mut health = judged_dead();
+fn reports_of_others_are_not_trusted_right_after_an_event_refuted_a_suspicion() {
+    let mut health = suspected_path();
     let now = Instant::now();
 
     health.on_event(now);
--- a/crates/routing/tests/paths.rs
+++ b/crates/routing/tests/paths.rs
@@ -1,4 +1,4 @@
-//! Paths: each layer once and in order, inside a data centre, and as cheap as any.
+//! Paths: each layer once and in order, inside a data centre, and at the lowest cost.
 
 mod common;
 
@@ -9,7 +9,7 @@
     paths_by_head,
 };
 
-/// The engines of a path, in order.
+/// Returns the ids of a path's engines, in order.
 fn ids(path: &PipelinePath) -> Vec<&str> {
     path.parts.iter().map(|part| part.incarnation.id.as_str()).collect()
 }
@@ -124,7 +124,7 @@
     assert_whole(&path, 12);
 }
 
-/// The part of an engine that runs `0..to`.
+/// Returns the part of an engine that runs `0..to`.
 fn first_part(holder: &Holder, to: u32) -> PathPart {
     PathPart {
         incarnation: holder.incarnation.clone(),
@@ -162,18 +162,20 @@
     assert_eq!(path_with_first(&holders, 12, &first_part(&holder("a", "x", 0, 5, 1.0), 5)), None);
 }
 
-/// The least cost of running all layers with each engine once, tried one by one.
-fn exact(holders: &[Holder], layer: u32, layers: u32, visited: &mut Vec<usize>) -> f64 {
+/// Returns the lowest cost of running all layers with each engine visited once, by exhaustive search.
+fn exhaustive_search(holders: &[Holder], layer: u32, layers: u32, visited: &mut Vec<usize>) -> f64 {
     if layer == layers {
         return 0.0;
     }
     let mut best = f64::INFINITY;
     for (index, one) in holders.iter().enumerate().filter(|(_, one)| one.layers.contains(layer)) {
         if visited.last() == Some(&index) {
-            best = best.min(one.layer_cost + exact(holders, layer + 1, layers, visited));
+            best =
+                best.min(one.layer_cost + exhaustive_search(holders, layer + 1, layers, visited));
         } else if !visited.contains(&index) {
             visited.push(index);
-            best = best.min(0.5 + one.layer_cost + exact(holders, layer + 1, layers, visited));
+            best = best
+                .min(0.5 + one.layer_cost + exhaustive_search(holders, layer + 1, layers, visited));
             visited.pop();
         }
     }
@@ -185,14 +187,14 @@
 }
 
 quickcheck! {
-    /// There is a path wherever an exact search finds one; and it costs the same, where no engine
-    /// lies inside the range of another.
+    /// A path exists wherever an exhaustive search finds one, and it costs the same unless an engine lies inside
+    /// the range of another.
     fn a_path_is_as_cheap_as_an_exact_search(seeds: Vec<(u8, u8, u8)>) -> bool {
         let holders: Vec<Holder> = seeds.iter().take(4).enumerate().map(|(index, seed)| {
             let (from, len) = (u32::from(seed.0 % 6), u32::from(seed.1 % 6) + 1);
             holder(&index.to_string(), "x", from, from + len, f64::from(seed.2) + 1.0)
         }).collect();
-        let best = exact(&holders, 0, 6, &mut Vec::new());
+        let best = exhaustive_search(&holders, 0, 6, &mut Vec::new());
         let Some(path) = cheapest_path(&holders, 6) else { return best.is_infinite() };
         let cost = path.step_ms + 0.5 * path.parts.len() as f64;
         let has_nested = holders.iter().any(|a| holders.iter().any(|b| is_nested(a, b)));
--- a/crates/routing/tests/peer_silence.rs
+++ b/crates/routing/tests/peer_silence.rs
@@ -9,18 +9,18 @@
     Duration::from_millis(ms)
 }
 
-/// One question of 180 ms after the other, each with the time that it took and the time that the peer had
-/// it, in ms.
-fn after(questions: &[(u64, u64)]) -> PeerSilence {
+/// Records requests of 180 ms, one after the other, each with the time that it took and the time that the peer
+/// had it, in ms.
+fn silence_after(requests: &[(u64, u64)]) -> PeerSilence {
     let mut silence = PeerSilence::new(LIMIT);
-    for (took, had) in questions {
-        silence.on_no_answer(ms(*took), ms(*had));
+    for (took, peer_time) in requests {
+        silence.on_no_answer(ms(*took), ms(*peer_time));
     }
     silence
 }
 
 #[test]
-fn nothing_asked_is_no_evidence() {
+fn no_request_is_no_evidence() {
     assert!(!PeerSilence::new(LIMIT).is_evidence());
 }
 
@@ -34,45 +34,45 @@
     assert!(silence.is_evidence());
 }
 
-/// A gateway that was busy with a burst ended questions of 180 ms after 460, and took sixteen engines
-/// that were well for dead.
+/// A gateway that was busy with a burst abandoned requests of 180 ms after 460 ms, and took sixteen healthy
+/// engines for dead.
 #[test]
 fn silence_far_beyond_the_limit_is_no_evidence() {
-    assert!(!after(&[(460, 460)]).is_evidence());
+    assert!(!silence_after(&[(460, 460)]).is_evidence());
 }
 
 #[test]
 fn a_process_that_is_always_late_finds_a_peer_that_failed() {
-    assert!(after(&[(460, 460), (460, 460)]).is_evidence());
+    assert!(silence_after(&[(460, 460), (460, 460)]).is_evidence());
 }
 
-/// A gateway with a processor quota was stopped for 92 of each 100 ms, sent questions late, ended them
-/// almost in time, and took engines that were well for dead.
+/// A gateway with a processor quota was stopped for 92 of each 100 ms, sent requests late, abandoned them almost
+/// in time, and took healthy engines for dead.
 #[test]
-fn a_question_that_was_sent_late_is_no_evidence() {
-    assert!(!after(&[(185, 20)]).is_evidence());
+fn a_request_that_was_sent_late_is_no_evidence() {
+    assert!(!silence_after(&[(185, 20)]).is_evidence());
 }
 
 #[test]
-fn a_question_that_was_never_sent_counts_for_nothing() {
-    assert!(!after(&[(185, 0); 10]).is_evidence());
-    assert!(!after(&[(460, 0); 10]).is_evidence());
+fn a_request_that_was_never_sent_does_not_count() {
+    assert!(!silence_after(&[(185, 0); 10]).is_evidence());
+    assert!(!silence_after(&[(460, 0); 10]).is_evidence());
 }
 
 #[test]
-fn a_question_that_waited_for_a_short_while_is_evidence() {
-    assert!(after(&[(185, 160)]).is_evidence());
+fn a_request_that_waited_for_a_short_while_is_evidence() {
+    assert!(silence_after(&[(185, 160)]).is_evidence());
 }
 
 #[test]
-fn a_question_in_time_is_evidence_after_one_that_was_sent_late() {
-    assert!(after(&[(185, 20), (185, 185)]).is_evidence());
+fn a_request_in_time_is_evidence_after_one_that_was_sent_late() {
+    assert!(silence_after(&[(185, 20), (185, 185)]).is_evidence());
 }
 
 #[test]
 fn a_peer_that_twice_had_most_of_its_time_is_found() {
-    let one = after(&[(185, 100)]);
-    let two = after(&[(185, 100), (185, 100)]);
+    let one = silence_after(&[(185, 100)]);
+    let two = silence_after(&[(185, 100), (185, 100)]);
 
     assert!(!one.is_evidence());
     assert!(two.is_evidence());
--- a/crates/routing/tests/repair_forecast.rs
+++ b/crates/routing/tests/repair_forecast.rs
@@ -1,4 +1,4 @@
-//! Whether streams wait for layers that their path has lost.
+//! Whether streams wait for the repair of layers that their path has lost.
 
 mod common;
 
@@ -6,16 +6,16 @@
 use sorrellock_routing::process::{is_repair_overdue, is_repair_worth_waiting, repair_time};
 use std::time::Duration;
 
-/// What finding a dead engine takes.
-const FOUND_AFTER: Duration = Duration::from_millis(150);
-/// Callers leave a stream that is silent for so long.
+/// Time to find a dead engine.
+const DETECTION_TIME: Duration = Duration::from_millis(150);
+/// Silence after which callers leave a stream.
 const CALLERS_LEAVE: Duration = Duration::from_secs(2);
 
 #[test]
 fn a_stream_waits_for_a_few_layers_and_not_for_many() {
     let shape = shape(80);
 
-    let waits = |missing| is_repair_worth_waiting(&shape, missing, FOUND_AFTER);
+    let waits = |missing| is_repair_worth_waiting(&shape, missing, DETECTION_TIME);
 
     assert!(waits(3));
     assert!(waits(7));
@@ -27,11 +27,11 @@
 fn the_longest_repair_that_is_waited_for_ends_before_callers_leave() {
     let shape = shape(80);
     let waited_for = (1..=shape.layers)
-        .filter(|missing| is_repair_worth_waiting(&shape, *missing, FOUND_AFTER))
+        .filter(|missing| is_repair_worth_waiting(&shape, *missing, DETECTION_TIME))
         .max()
         .expect("some are waited for");
 
-    let silent = FOUND_AFTER + repair_time(&shape, waited_for);
+    let silent = DETECTION_TIME + repair_time(&shape, waited_for);
 
     assert!(!is_repair_overdue(silent));
     assert!(silent + Duration::from_millis(500) < CALLERS_LEAVE);
--- a/crates/routing/tests/route_table.rs
+++ b/crates/routing/tests/route_table.rs
@@ -1,4 +1,4 @@
-//! Routes and keys.
+//! Lookup of routes and keys.
 
 use sorrellock_routing::version::{
     CallerLimits, Configuration, NotAllowed, Route, RouteTable, Semantics, Workspace,
--- a/crates/routing/tests/run_fault.rs
+++ b/crates/routing/tests/run_fault.rs
@@ -1,4 +1,4 @@
-//! What the doubt of a stream's run rests on.
+//! The evidence of each fault of a stream's run.
 
 use sorrellock_routing::request::{EventError, FaultEvidence, RunFault};
 
--- a/crates/routing/tests/stream_pace.rs
+++ b/crates/routing/tests/stream_pace.rs
@@ -1,4 +1,4 @@
-//! How long streams take, by the answers of before.
+//! How long streams take, estimated from earlier answers.
 
 use sorrellock_routing::process::StreamPace;
 use std::time::Duration;
--- a/crates/routing/tests/update_source.rs
+++ b/crates/routing/tests/update_source.rs
@@ -1,4 +1,4 @@
-//! Whom a gateway asks that knows less than others.
+//! Which gateway is queried by one that knows less than others.
 
 use sorrellock_routing::process::{Known, NewsSources, Revision};
 use std::time::{Duration, Instant};
@@ -8,47 +8,49 @@
 }
 
 #[test]
-fn the_one_with_the_newest_configuration_is_asked_first() {
-    let heard = [("a", known(14, 99)), ("b", known(33, 60)), ("c", known(16, 102))];
+fn the_gateway_with_the_newest_configuration_is_queried_first() {
+    let candidates = [("a", known(14, 99)), ("b", known(33, 60)), ("c", known(16, 102))];
 
-    let chosen = NewsSources::default().choose(known(14, 60), heard.into_iter(), Instant::now());
+    let chosen =
+        NewsSources::default().choose(known(14, 60), candidates.into_iter(), Instant::now());
 
     assert_eq!(chosen, Some("b"));
 }
 
 #[test]
-fn nobody_is_asked_who_knows_nothing_more() {
-    let heard = [("a", known(14, 60)), ("b", known(3, 50))];
+fn no_gateway_is_queried_that_knows_nothing_more() {
+    let candidates = [("a", known(14, 60)), ("b", known(3, 50))];
 
-    let chosen = NewsSources::default().choose(known(14, 60), heard.into_iter(), Instant::now());
+    let chosen =
+        NewsSources::default().choose(known(14, 60), candidates.into_iter(), Instant::now());
 
     assert_eq!(chosen, None);
 }
 
 #[test]
-fn one_that_gave_no_answer_is_passed_over_for_a_while_where_another_knows_more() {
+fn a_gateway_that_failed_is_avoided_for_a_while_if_another_knows_more() {
     let now = Instant::now();
     let mut sources = NewsSources::default();
-    let heard = [("a", known(33, 90)), ("b", known(20, 70))];
+    let candidates = [("a", known(33, 90)), ("b", known(20, 70))];
     sources.on_failure("a", now);
 
-    let next = sources.choose(known(14, 60), heard.into_iter(), now);
-    let alone = sources.choose(known(14, 60), heard[..1].iter().copied(), now);
-    let later = sources.choose(known(14, 60), heard.into_iter(), now + Duration::from_secs(6));
+    let next = sources.choose(known(14, 60), candidates.into_iter(), now);
+    let alone = sources.choose(known(14, 60), candidates[..1].iter().copied(), now);
+    let later = sources.choose(known(14, 60), candidates.into_iter(), now + Duration::from_secs(6));
 
     assert_eq!((next, alone, later), (Some("b"), Some("a"), Some("a")));
 }
 
 #[test]
-fn of_those_that_gave_no_answer_the_one_that_failed_first_is_asked() {
+fn of_gateways_that_failed_the_one_that_failed_first_is_queried() {
     let now = Instant::now();
     let mut sources = NewsSources::default();
-    let heard = [("a", known(33, 90)), ("b", known(20, 70))];
+    let candidates = [("a", known(33, 90)), ("b", known(20, 70))];
     sources.on_failure("b", now);
     sources.on_failure("a", now + Duration::from_secs(1));
 
     let at = now + Duration::from_secs(2);
-    let chosen = sources.choose(known(14, 60), heard.into_iter(), at);
+    let chosen = sources.choose(known(14, 60), candidates.into_iter(), at);
 
     assert_eq!(chosen, Some("b"));
 }
