--- a/crates/gateway/src/process/store/incarnations.rs
+++ b/crates/gateway/src/process/store/incarnations.rs
@@ -3,7 +3,7 @@
 use crate::process::{Count, EndedIncarnation, Gateway};
 use sorrellock_platform::{Client, read_report};
 use sorrellock_routing::process::Revision;
-use sorrellock_routing::process::{AnswerNews, Endpoint, EntryNews, Incarnation, StartMillis};
+use sorrellock_routing::process::{AnswerNews, Endpoint, EntryUpdate, Incarnation, StartMillis};
 use spdlog::{info, warn};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -45,13 +45,13 @@
         let now = Instant::now().into_std();
         let news = self.incarnations.borrow_mut().on_entry(&incarnation, revision, now);
         match news {
-            EntryNews::Present => Some((endpoint, None)),
-            EntryNews::Untold => {
+            EntryUpdate::Present => Some((endpoint, None)),
+            EntryUpdate::Untold => {
                 let started = self.incarnations.borrow().present(&incarnation.id).flatten();
                 Some((Endpoint { started, ..endpoint }, None))
             }
-            EntryNews::Began { ended } => Some((endpoint, Some(ended))),
-            EntryNews::Late => {
+            EntryUpdate::Began { ended } => Some((endpoint, Some(ended))),
+            EntryUpdate::Late => {
                 self.counters.add(Count::NewsLate);
                 let started = incarnation.started.unwrap_or_default();
                 info!("late entry of an endpoint", kv: {
@@ -60,7 +60,7 @@
                 });
                 None
             }
-            EntryNews::Contradicts => {
+            EntryUpdate::Contradicts => {
                 let started = incarnation.started.unwrap_or_default();
                 warn!("entries of an endpoint contradict each other", kv: {
                     endpoint = incarnation.id.as_str(), started, era = revision.era,
--- a/crates/routing/src/process/incarnations.rs
+++ b/crates/routing/src/process/incarnations.rs
@@ -21,7 +21,7 @@
 
 /// What an entry shows about its endpoint's incarnation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum EntryNews {
+pub enum EntryUpdate {
     /// The entry is of the present incarnation, or of the first one that is known.
     Present,
     /// The entry gives no start and shows nothing about the incarnation.
@@ -128,7 +128,7 @@
         incarnation: &Incarnation,
         revision: Revision,
         now: Instant,
-    ) -> EntryNews {
+    ) -> EntryUpdate {
         self.incarnations(&incarnation.id).on_entry(incarnation, revision, now)
     }
 
@@ -187,32 +187,32 @@
         incarnation: &Incarnation,
         revision: Revision,
         now: Instant,
-    ) -> EntryNews {
+    ) -> EntryUpdate {
         let is_known = revision <= self.entry_at;
         self.entry_at = self.entry_at.max(revision);
         let Some(present) = self.present else {
             if self.is_over(incarnation.started) {
-                return EntryNews::Late;
+                return EntryUpdate::Late;
             }
             self.begin(incarnation.started, now);
-            return EntryNews::Present;
+            return EntryUpdate::Present;
         };
         if incarnation.started == present.started {
             self.contradictions = None;
-            return EntryNews::Present;
+            return EntryUpdate::Present;
         }
         if incarnation.started.is_none() {
-            return EntryNews::Untold;
+            return EntryUpdate::Untold;
         }
         if is_known || self.is_over(incarnation.started) {
-            return EntryNews::Late;
+            return EntryUpdate::Late;
         }
         if self.ended(incarnation.started).is_some() && !self.is_accepted(incarnation.started) {
-            return EntryNews::Contradicts;
+            return EntryUpdate::Contradicts;
         }
         self.end(present.started, EndedBy::Entry, incarnation.started);
         self.begin(incarnation.started, now);
-        EntryNews::Began { ended: Incarnation::new(incarnation.id.clone(), present.started) }
+        EntryUpdate::Began { ended: Incarnation::new(incarnation.id.clone(), present.started) }
     }
 
     /// Counts an entry that contradicts the present incarnation. Returns whether it is accepted now.
--- a/crates/routing/tests/incarnations.rs
+++ b/crates/routing/tests/incarnations.rs
@@ -5,7 +5,7 @@
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use sorrellock_routing::process::{
-    AnswerNews, EntryNews, Incarnation, Incarnations, Revision, StartMillis,
+    AnswerNews, EntryUpdate, Incarnation, Incarnations, Revision, StartMillis,
 };
 use std::time::{Duration, Instant};
 
@@ -44,7 +44,7 @@
 
     let update = incarnations.on_entry(&incarnation(Y), rev(116), at(200));
 
-    assert_eq!(update, EntryNews::Began { ended: incarnation(X) });
+    assert_eq!(update, EntryUpdate::Began { ended: incarnation(X) });
     assert_eq!(incarnations.present(ID), Some(Some(Y)));
     assert!(incarnations.has_ended(&incarnation(X)));
 }
@@ -57,7 +57,7 @@
 
     let update = incarnations.on_entry(&incarnation(X), rev(100), at(300));
 
-    assert_eq!(update, EntryNews::Late);
+    assert_eq!(update, EntryUpdate::Late);
     assert_eq!(incarnations.present(ID), Some(Some(Y)));
 }
 
@@ -70,8 +70,8 @@
     let late = incarnations.on_entry(&incarnation(X), rev(117), at(300));
     let own = incarnations.on_entry(&incarnation(Y), rev(118), at(400));
 
-    assert_eq!(late, EntryNews::Contradicts);
-    assert_eq!(own, EntryNews::Present);
+    assert_eq!(late, EntryUpdate::Contradicts);
+    assert_eq!(own, EntryUpdate::Present);
     assert_eq!(incarnations.present(ID), Some(Some(Y)));
 }
 
@@ -85,9 +85,9 @@
     let answer = incarnations.on_answer(ID, Some(Y), at(301), at(305));
     let late = incarnations.on_entry(&incarnation(X), rev(119), at(400));
 
-    assert_eq!(entry, EntryNews::Contradicts);
+    assert_eq!(entry, EntryUpdate::Contradicts);
     assert_eq!(answer, AnswerNews::Began { ended: incarnation(X) });
-    assert_eq!(late, EntryNews::Late);
+    assert_eq!(late, EntryUpdate::Late);
     assert_eq!(incarnations.present(ID), Some(Some(Y)));
     assert!(!incarnations.has_ended(&incarnation(Y)));
 }
@@ -102,9 +102,9 @@
     let again = incarnations.on_entry(&incarnation(Y), rev(118), at(310));
     let second = incarnations.on_entry(&incarnation(Y), rev(119), at(400));
 
-    assert_eq!(first, EntryNews::Contradicts);
-    assert_eq!(again, EntryNews::Late, "the same entry is no second contradiction");
-    assert_eq!(second, EntryNews::Began { ended: incarnation(X) });
+    assert_eq!(first, EntryUpdate::Contradicts);
+    assert_eq!(again, EntryUpdate::Late, "the same entry is no second contradiction");
+    assert_eq!(second, EntryUpdate::Began { ended: incarnation(X) });
 }
 
 #[test]
@@ -130,7 +130,7 @@
     let answer = incarnations.on_answer(ID, Some(X), at(400), at(410));
 
     assert_eq!(update, AnswerNews::Began { ended: incarnation(X) });
-    assert!(entries.iter().all(|update| *update == EntryNews::Late), "{entries:?}");
+    assert!(entries.iter().all(|update| *update == EntryUpdate::Late), "{entries:?}");
     assert_eq!(answer, AnswerNews::Late);
     assert!(incarnations.is_over(&incarnation(X)));
     assert_eq!(incarnations.present(ID), Some(Some(Y)));
@@ -149,7 +149,7 @@
     assert_eq!(update, AnswerNews::Present { now_over: vec![incarnation(X)] });
     assert_eq!(again, AnswerNews::Present { now_over: Vec::new() });
     assert!(incarnations.is_over(&incarnation(X)));
-    assert_eq!(incarnations.on_entry(&incarnation(X), rev(117), at(300)), EntryNews::Late);
+    assert_eq!(incarnations.on_entry(&incarnation(X), rev(117), at(300)), EntryUpdate::Late);
 }
 
 #[test]
@@ -160,7 +160,7 @@
     let entry = incarnations.on_entry(&Incarnation::new(ID, None), rev(116), at(200));
     let answer = incarnations.on_answer(ID, None, at(300), at(310));
 
-    assert_eq!(entry, EntryNews::Untold);
+    assert_eq!(entry, EntryUpdate::Untold);
     assert_eq!(answer, AnswerNews::Untold);
     assert_eq!(incarnations.present(ID), Some(Some(X)));
 }
@@ -175,7 +175,7 @@
         .map(|revision| incarnations.on_entry(&without_start, rev(revision), at(revision)));
     let answer = incarnations.on_answer(ID, None, at(10), at(11));
 
-    assert_eq!(entries, [EntryNews::Present, EntryNews::Present, EntryNews::Present]);
+    assert_eq!(entries, [EntryUpdate::Present, EntryUpdate::Present, EntryUpdate::Present]);
     assert_eq!(answer, AnswerNews::Present { now_over: Vec::new() });
 }
 
