--- a/crates/gateway/src/process/store/incarnations.rs
+++ b/crates/gateway/src/process/store/incarnations.rs
@@ -3,7 +3,7 @@
 use crate::process::{Count, EndedIncarnation, Gateway};
 use sorrellock_platform::{Client, read_report};
 use sorrellock_routing::process::Revision;
-use sorrellock_routing::process::{AnswerNews, Endpoint, EntryUpdate, Incarnation, StartMillis};
+use sorrellock_routing::process::{AnswerUpdate, Endpoint, EntryUpdate, Incarnation, StartMillis};
 use spdlog::{info, warn};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -86,7 +86,7 @@
             let Ok(report) = read_report(&client, SETTLE_LIMIT).await else { return };
             let incarnation = endpoint.incarnation();
             let news = gateway.answer_news(&incarnation.id, report.started, asked);
-            let AnswerNews::Began { ended } = news else { return };
+            let AnswerUpdate::Began { ended } = news else { return };
             if report.started == incarnation.started {
                 gateway.take_entry(endpoint, revision, OWN_ANSWER);
             }
@@ -106,21 +106,21 @@
             return AnswerOf::OtherIncarnation;
         }
         match self.answer_news(&incarnation.id, started, asked) {
-            AnswerNews::Present { .. } if started == incarnation.started => {
+            AnswerUpdate::Present { .. } if started == incarnation.started => {
                 self.note_alive(incarnation, "its report");
                 AnswerOf::SameIncarnation
             }
-            AnswerNews::Present { .. } => AnswerOf::OtherIncarnation,
-            AnswerNews::Untold => {
+            AnswerUpdate::Present { .. } => AnswerOf::OtherIncarnation,
+            AnswerUpdate::Untold => {
                 self.counters.add(Count::ReportsWithoutStart);
                 warn!("report without a start", kv: { endpoint = incarnation.id.as_str() });
                 AnswerOf::Untold
             }
-            AnswerNews::Began { ended } => {
+            AnswerUpdate::Began { ended } => {
                 self.on_life_found(ended, started);
                 AnswerOf::OtherIncarnation
             }
-            AnswerNews::Late => {
+            AnswerUpdate::Late => {
                 self.counters.add(Count::NewsLate);
                 let started = started.unwrap_or_default();
                 info!("late answer of an endpoint", kv: { endpoint = incarnation.id.as_str(), started });
@@ -142,10 +142,10 @@
         endpoints.any(|e| e.id != incarnation.id && e.addr == addr && e.started == started)
     }
 
-    fn answer_news(&self, id: &str, started: Option<StartMillis>, asked: Instant) -> AnswerNews {
+    fn answer_news(&self, id: &str, started: Option<StartMillis>, asked: Instant) -> AnswerUpdate {
         let now = Instant::now().into_std();
         let news = self.incarnations.borrow_mut().on_answer(id, started, asked.into_std(), now);
-        if let AnswerNews::Present { now_over } = &news {
+        if let AnswerUpdate::Present { now_over } = &news {
             now_over.iter().for_each(|ended| self.tell_end(ended.clone(), started));
         }
         news
--- a/crates/routing/src/process/incarnations.rs
+++ b/crates/routing/src/process/incarnations.rs
@@ -40,7 +40,7 @@
 
 /// What an answer of an endpoint shows about its incarnation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AnswerNews {
+pub enum AnswerUpdate {
     /// The answer is of the present incarnation.
     Present {
         /// Incarnations that only entries had ended, and that this answer confirms to be over for good.
@@ -139,7 +139,7 @@
         started: Option<StartMillis>,
         requested_at: Instant,
         now: Instant,
-    ) -> AnswerNews {
+    ) -> AnswerUpdate {
         self.incarnations(id).on_answer(id, started, requested_at, now)
     }
 
@@ -229,28 +229,28 @@
         started: Option<StartMillis>,
         requested_at: Instant,
         now: Instant,
-    ) -> AnswerNews {
+    ) -> AnswerUpdate {
         let Some(present) = self.present else {
             if self.is_over(started) {
-                return AnswerNews::Late;
+                return AnswerUpdate::Late;
             }
             self.begin(started, now);
-            return AnswerNews::Present { now_over: Vec::new() };
+            return AnswerUpdate::Present { now_over: Vec::new() };
         };
         if started == present.started {
             let now_over = self.on_confirmed(present, requested_at);
             let now_over = now_over.into_iter().map(|ended| Incarnation::new(id, ended));
-            return AnswerNews::Present { now_over: now_over.collect() };
+            return AnswerUpdate::Present { now_over: now_over.collect() };
         }
         if started.is_none() {
-            return AnswerNews::Untold;
+            return AnswerUpdate::Untold;
         }
         if self.is_over(started) || requested_at < present.confirmed_at {
-            return AnswerNews::Late;
+            return AnswerUpdate::Late;
         }
         self.end(present.started, EndedBy::Answer, started);
         self.begin(started, now);
-        AnswerNews::Began { ended: Incarnation::new(id, present.started) }
+        AnswerUpdate::Began { ended: Incarnation::new(id, present.started) }
     }
 
     /// Handles an answer that confirms the present incarnation: all others that were known before it was
--- a/crates/routing/tests/incarnations.rs
+++ b/crates/routing/tests/incarnations.rs
@@ -5,7 +5,7 @@
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use sorrellock_routing::process::{
-    AnswerNews, EntryUpdate, Incarnation, Incarnations, Revision, StartMillis,
+    AnswerUpdate, EntryUpdate, Incarnation, Incarnations, Revision, StartMillis,
 };
 use std::time::{Duration, Instant};
 
@@ -86,7 +86,7 @@
     let late = incarnations.on_entry(&incarnation(X), rev(119), at(400));
 
     assert_eq!(entry, EntryUpdate::Contradicts);
-    assert_eq!(answer, AnswerNews::Began { ended: incarnation(X) });
+    assert_eq!(answer, AnswerUpdate::Began { ended: incarnation(X) });
     assert_eq!(late, EntryUpdate::Late);
     assert_eq!(incarnations.present(ID), Some(Some(Y)));
     assert!(!incarnations.has_ended(&incarnation(Y)));
@@ -115,7 +115,7 @@
 
     let update = incarnations.on_answer(ID, Some(X), at(199), at(250));
 
-    assert_eq!(update, AnswerNews::Late);
+    assert_eq!(update, AnswerUpdate::Late);
     assert_eq!(incarnations.present(ID), Some(Some(Y)));
 }
 
@@ -129,9 +129,9 @@
         .map(|revision| incarnations.on_entry(&incarnation(X), rev(revision), at(300)));
     let answer = incarnations.on_answer(ID, Some(X), at(400), at(410));
 
-    assert_eq!(update, AnswerNews::Began { ended: incarnation(X) });
+    assert_eq!(update, AnswerUpdate::Began { ended: incarnation(X) });
     assert!(entries.iter().all(|update| *update == EntryUpdate::Late), "{entries:?}");
-    assert_eq!(answer, AnswerNews::Late);
+    assert_eq!(answer, AnswerUpdate::Late);
     assert!(incarnations.is_over(&incarnation(X)));
     assert_eq!(incarnations.present(ID), Some(Some(Y)));
 }
@@ -146,8 +146,8 @@
     let update = incarnations.on_answer(ID, Some(Y), at(201), at(202));
     let again = incarnations.on_answer(ID, Some(Y), at(203), at(204));
 
-    assert_eq!(update, AnswerNews::Present { now_over: vec![incarnation(X)] });
-    assert_eq!(again, AnswerNews::Present { now_over: Vec::new() });
+    assert_eq!(update, AnswerUpdate::Present { now_over: vec![incarnation(X)] });
+    assert_eq!(again, AnswerUpdate::Present { now_over: Vec::new() });
     assert!(incarnations.is_over(&incarnation(X)));
     assert_eq!(incarnations.on_entry(&incarnation(X), rev(117), at(300)), EntryUpdate::Late);
 }
@@ -161,7 +161,7 @@
     let answer = incarnations.on_answer(ID, None, at(300), at(310));
 
     assert_eq!(entry, EntryUpdate::Untold);
-    assert_eq!(answer, AnswerNews::Untold);
+    assert_eq!(answer, AnswerUpdate::Untold);
     assert_eq!(incarnations.present(ID), Some(Some(X)));
 }
 
@@ -176,7 +176,7 @@
     let answer = incarnations.on_answer(ID, None, at(10), at(11));
 
     assert_eq!(entries, [EntryUpdate::Present, EntryUpdate::Present, EntryUpdate::Present]);
-    assert_eq!(answer, AnswerNews::Present { now_over: Vec::new() });
+    assert_eq!(answer, AnswerUpdate::Present { now_over: Vec::new() });
 }
 
 #[test]
