--- a/crates/gateway/src/process/store/endpoint_check.rs
+++ b/crates/gateway/src/process/store/endpoint_check.rs
@@ -255,6 +255,6 @@
     match gateway.on_answer_of(incarnation, *addr, report.started, began) {
         AnswerOf::SameIncarnation => Ok(()),
         AnswerOf::OtherIncarnation => Err(Unwell::OtherIncarnation),
-        AnswerOf::Untold => Err(Unwell::Ended("its report tells no start".to_owned())),
+        AnswerOf::NoStart => Err(Unwell::Ended("its report tells no start".to_owned())),
     }
 }
--- a/crates/gateway/src/process/store/incarnations.rs
+++ b/crates/gateway/src/process/store/incarnations.rs
@@ -24,7 +24,7 @@
     /// Another incarnation, or one that was over by then: it tells nothing of the one that was asked.
     OtherIncarnation,
     /// It tells no start, while the entry does.
-    Untold,
+    NoStart,
 }
 
 impl Gateway {
@@ -46,7 +46,7 @@
         let news = self.incarnations.borrow_mut().on_entry(&incarnation, revision, now);
         match news {
             EntryUpdate::Present => Some((endpoint, None)),
-            EntryUpdate::Untold => {
+            EntryUpdate::NoStart => {
                 let started = self.incarnations.borrow().present(&incarnation.id).flatten();
                 Some((Endpoint { started, ..endpoint }, None))
             }
@@ -111,10 +111,10 @@
                 AnswerOf::SameIncarnation
             }
             AnswerUpdate::Present { .. } => AnswerOf::OtherIncarnation,
-            AnswerUpdate::Untold => {
+            AnswerUpdate::NoStart => {
                 self.counters.add(Count::ReportsWithoutStart);
                 warn!("report without a start", kv: { endpoint = incarnation.id.as_str() });
-                AnswerOf::Untold
+                AnswerOf::NoStart
             }
             AnswerUpdate::Began { ended } => {
                 self.on_life_found(ended, started);
--- a/crates/routing/src/process/incarnations.rs
+++ b/crates/routing/src/process/incarnations.rs
@@ -25,7 +25,7 @@
     /// The entry is of the present incarnation, or of the first one that is known.
     Present,
     /// The entry gives no start and shows nothing about the incarnation.
-    Untold,
+    NoStart,
     /// The entry is of a new incarnation.
     Began {
         /// The incarnation that ended.
@@ -47,7 +47,7 @@
         now_over: Vec<Incarnation>,
     },
     /// The answer gives no start, though the entry does; it can't be used.
-    Untold,
+    NoStart,
     /// The answer is of a new incarnation.
     Began {
         /// The incarnation that ended.
@@ -202,7 +202,7 @@
             return EntryUpdate::Present;
         }
         if incarnation.started.is_none() {
-            return EntryUpdate::Untold;
+            return EntryUpdate::NoStart;
         }
         if is_known || self.is_over(incarnation.started) {
             return EntryUpdate::Late;
@@ -243,7 +243,7 @@
             return AnswerUpdate::Present { now_over: now_over.collect() };
         }
         if started.is_none() {
-            return AnswerUpdate::Untold;
+            return AnswerUpdate::NoStart;
         }
         if self.is_over(started) || requested_at < present.confirmed_at {
             return AnswerUpdate::Late;
--- a/crates/routing/tests/incarnations.rs
+++ b/crates/routing/tests/incarnations.rs
@@ -160,8 +160,8 @@
     let entry = incarnations.on_entry(&Incarnation::new(ID, None), rev(116), at(200));
     let answer = incarnations.on_answer(ID, None, at(300), at(310));
 
-    assert_eq!(entry, EntryUpdate::Untold);
-    assert_eq!(answer, AnswerUpdate::Untold);
+    assert_eq!(entry, EntryUpdate::NoStart);
+    assert_eq!(answer, AnswerUpdate::NoStart);
     assert_eq!(incarnations.present(ID), Some(Some(X)));
 }
 
