--- a/crates/gateway/src/process/store/incarnations.rs
+++ b/crates/gateway/src/process/store/incarnations.rs
@@ -145,8 +145,8 @@
     fn answer_news(&self, id: &str, started: Option<StartMillis>, asked: Instant) -> AnswerUpdate {
         let now = Instant::now().into_std();
         let news = self.incarnations.borrow_mut().on_answer(id, started, asked.into_std(), now);
-        if let AnswerUpdate::Present { now_over } = &news {
-            now_over.iter().for_each(|ended| self.tell_end(ended.clone(), started));
+        if let AnswerUpdate::Present { confirmed_ended } = &news {
+            confirmed_ended.iter().for_each(|ended| self.tell_end(ended.clone(), started));
         }
         news
     }
--- a/crates/routing/src/process/incarnations.rs
+++ b/crates/routing/src/process/incarnations.rs
@@ -44,7 +44,7 @@
     /// The answer is of the present incarnation.
     Present {
         /// Incarnations that only entries had ended, and that this answer confirms to be over for good.
-        now_over: Vec<Incarnation>,
+        confirmed_ended: Vec<Incarnation>,
     },
     /// The answer gives no start, though the entry does; it can't be used.
     NoStart,
@@ -235,12 +235,13 @@
                 return AnswerUpdate::Late;
             }
             self.begin(started, now);
-            return AnswerUpdate::Present { now_over: Vec::new() };
+            return AnswerUpdate::Present { confirmed_ended: Vec::new() };
         };
         if started == present.started {
-            let now_over = self.on_confirmed(present, requested_at);
-            let now_over = now_over.into_iter().map(|ended| Incarnation::new(id, ended));
-            return AnswerUpdate::Present { now_over: now_over.collect() };
+            let confirmed_ended = self.on_confirmed(present, requested_at);
+            let confirmed_ended =
+                confirmed_ended.into_iter().map(|ended| Incarnation::new(id, ended));
+            return AnswerUpdate::Present { confirmed_ended: confirmed_ended.collect() };
         }
         if started.is_none() {
             return AnswerUpdate::NoStart;
@@ -265,12 +266,12 @@
         }
         self.present = Some(Present { confirmed_at: requested_at, ..present });
         self.contradictions = None;
-        let mut now_over = Vec::new();
+        let mut confirmed_ended = Vec::new();
         for ended in self.ended.iter_mut().filter(|ended| ended.by == EndedBy::Entry) {
             ended.by = EndedBy::Answer;
-            now_over.push(ended.started);
+            confirmed_ended.push(ended.started);
         }
-        now_over
+        confirmed_ended
     }
 
     fn on_end_told(
--- a/crates/routing/tests/incarnations.rs
+++ b/crates/routing/tests/incarnations.rs
@@ -146,8 +146,8 @@
     let update = incarnations.on_answer(ID, Some(Y), at(201), at(202));
     let again = incarnations.on_answer(ID, Some(Y), at(203), at(204));
 
-    assert_eq!(update, AnswerUpdate::Present { now_over: vec![incarnation(X)] });
-    assert_eq!(again, AnswerUpdate::Present { now_over: Vec::new() });
+    assert_eq!(update, AnswerUpdate::Present { confirmed_ended: vec![incarnation(X)] });
+    assert_eq!(again, AnswerUpdate::Present { confirmed_ended: Vec::new() });
     assert!(incarnations.is_over(&incarnation(X)));
     assert_eq!(incarnations.on_entry(&incarnation(X), rev(117), at(300)), EntryUpdate::Late);
 }
@@ -176,7 +176,7 @@
     let answer = incarnations.on_answer(ID, None, at(10), at(11));
 
     assert_eq!(entries, [EntryUpdate::Present, EntryUpdate::Present, EntryUpdate::Present]);
-    assert_eq!(answer, AnswerUpdate::Present { now_over: Vec::new() });
+    assert_eq!(answer, AnswerUpdate::Present { confirmed_ended: Vec::new() });
 }
 
 #[test]
