--- a/crates/gateway/src/process/store/incarnations.rs
+++ b/crates/gateway/src/process/store/incarnations.rs
@@ -169,7 +169,7 @@
     pub(crate) fn hear_end(&self, end: &EndedIncarnation, instance: &str) {
         let EndedIncarnation { ended, successor } = end;
         let now = Instant::now().into_std();
-        if !self.incarnations.borrow_mut().on_end_told(ended, *successor, now) {
+        if !self.incarnations.borrow_mut().on_end_reported(ended, *successor, now) {
             return;
         }
         let present = self.incarnations.borrow().present(&ended.id);
--- a/crates/routing/src/process/incarnations.rs
+++ b/crates/routing/src/process/incarnations.rs
@@ -145,13 +145,13 @@
 
     /// Applies a report of another process that an answer of the incarnation that began at `successor` ended
     /// `ended`. The report stays valid however late it arrives. Returns whether the present incarnation changed.
-    pub fn on_end_told(
+    pub fn on_end_reported(
         &mut self,
         ended: &Incarnation,
         successor: Option<StartMillis>,
         now: Instant,
     ) -> bool {
-        self.incarnations(&ended.id).on_end_told(ended.started, successor, now)
+        self.incarnations(&ended.id).on_end_reported(ended.started, successor, now)
     }
 
     /// Marks an incarnation as over for good without a known successor, because another endpoint answers at its
@@ -274,7 +274,7 @@
         confirmed_ended
     }
 
-    fn on_end_told(
+    fn on_end_reported(
         &mut self,
         ended: Option<StartMillis>,
         successor: Option<StartMillis>,
--- a/crates/routing/tests/incarnations.rs
+++ b/crates/routing/tests/incarnations.rs
@@ -184,11 +184,11 @@
     let at = clock();
     let mut incarnations = incarnations_of(X, &at);
 
-    assert!(incarnations.on_end_told(&incarnation(X), Some(Y), at(200)));
+    assert!(incarnations.on_end_reported(&incarnation(X), Some(Y), at(200)));
     assert_eq!(incarnations.present(ID), Some(Some(Y)));
     incarnations.on_answer(ID, Some(Z), at(300), at(310));
 
-    assert!(!incarnations.on_end_told(&incarnation(X), Some(Y), at(400)));
+    assert!(!incarnations.on_end_reported(&incarnation(X), Some(Y), at(400)));
     assert_eq!(incarnations.present(ID), Some(Some(Z)));
 }
 
@@ -197,8 +197,8 @@
     let at = clock();
     let mut incarnations = incarnations_of(X, &at);
 
-    incarnations.on_end_told(&incarnation(Y), Some(Z), at(200));
-    incarnations.on_end_told(&incarnation(X), Some(Y), at(300));
+    incarnations.on_end_reported(&incarnation(Y), Some(Z), at(200));
+    incarnations.on_end_reported(&incarnation(X), Some(Y), at(300));
 
     assert_eq!(incarnations.present(ID), Some(Some(Z)));
 }
@@ -308,7 +308,7 @@
             }
             Event::EndIsReported(ago) => {
                 if let (Some(ended), Some(by)) = (self.before(ago), self.before(ago - 1)) {
-                    self.incarnations.on_end_told(&incarnation(ended), Some(by), self.now);
+                    self.incarnations.on_end_reported(&incarnation(ended), Some(by), self.now);
                 }
             }
         }
