--- a/crates/gateway/src/process/peers/peers.rs
+++ b/crates/gateway/src/process/peers/peers.rs
@@ -3,7 +3,7 @@
 
 use crate::process::{Count, Gateway, HeadLoad, LeadView, Load, Peer, PeerMessage, Unreadable};
 use sorrellock_platform::Kind;
-use sorrellock_routing::process::{Incarnation, NewsSources};
+use sorrellock_routing::process::{Incarnation, UpdateSources};
 use spdlog::{info, warn};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -40,7 +40,7 @@
     /// What this gateway knows while it is the lead.
     pub(super) own_view: Rc<RefCell<Option<LeadView>>>,
     /// Whom to ask for what the others know.
-    pub(super) sources: RefCell<NewsSources>,
+    pub(super) sources: RefCell<UpdateSources>,
     /// Senders of which the log told that their messages can't be read.
     told_unreadable: RefCell<HashSet<SocketAddr>>,
 }
--- a/crates/routing/src/process/update_source.rs
+++ b/crates/routing/src/process/update_source.rs
@@ -29,12 +29,12 @@
 
 /// Selects which gateway to query.
 #[derive(Debug, Default)]
-pub struct NewsSources {
+pub struct UpdateSources {
     /// Gateways that did not answer, and when. Bounded by the number of gateways in contact.
     failed: HashMap<String, Instant>,
 }
 
-impl NewsSources {
+impl UpdateSources {
     /// Returns the gateway that knows most among those that know more than `own`. A gateway that failed recently
     /// is chosen only if all others did, too; the one that failed first goes first.
     pub fn choose<'a>(
--- a/crates/routing/tests/update_source.rs
+++ b/crates/routing/tests/update_source.rs
@@ -1,6 +1,6 @@
 //! Which gateway is queried by one that knows less than others.
 
-use sorrellock_routing::process::{Known, NewsSources, Revision};
+use sorrellock_routing::process::{Known, Revision, UpdateSources};
 use std::time::{Duration, Instant};
 
 fn known(config: u64, endpoints_at: u64) -> Known {
@@ -12,7 +12,7 @@
     let candidates = [("a", known(14, 99)), ("b", known(33, 60)), ("c", known(16, 102))];
 
     let chosen =
-        NewsSources::default().choose(known(14, 60), candidates.into_iter(), Instant::now());
+        UpdateSources::default().choose(known(14, 60), candidates.into_iter(), Instant::now());
 
     assert_eq!(chosen, Some("b"));
 }
@@ -22,7 +22,7 @@
     let candidates = [("a", known(14, 60)), ("b", known(3, 50))];
 
     let chosen =
-        NewsSources::default().choose(known(14, 60), candidates.into_iter(), Instant::now());
+        UpdateSources::default().choose(known(14, 60), candidates.into_iter(), Instant::now());
 
     assert_eq!(chosen, None);
 }
@@ -30,7 +30,7 @@
 #[test]
 fn a_gateway_that_failed_is_avoided_for_a_while_if_another_knows_more() {
     let now = Instant::now();
-    let mut sources = NewsSources::default();
+    let mut sources = UpdateSources::default();
     let candidates = [("a", known(33, 90)), ("b", known(20, 70))];
     sources.on_failure("a", now);
 
@@ -44,7 +44,7 @@
 #[test]
 fn of_gateways_that_failed_the_one_that_failed_first_is_queried() {
     let now = Instant::now();
-    let mut sources = NewsSources::default();
+    let mut sources = UpdateSources::default();
     let candidates = [("a", known(33, 90)), ("b", known(20, 70))];
     sources.on_failure("b", now);
     sources.on_failure("a", now + Duration::from_secs(1));
