--- a/crates/gateway/src/process/dump.rs
+++ b/crates/gateway/src/process/dump.rs
@@ -5,7 +5,7 @@
 use sorrellock_platform::Kind;
 use sorrellock_routing::process::knowledge::{EntryState, Knowledge, KnownEndpoint};
 use sorrellock_routing::process::{
-    ChangeCount, FOUND_MOST, FaultKind, LayerRange, Revision, StoreEra, cut,
+    ChangeCount, FaultKind, LayerRange, MAX_FOUND_CHARS, Revision, StoreEra, cut,
 };
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -104,7 +104,7 @@
         let knowledge = gateway.knowledge.borrow();
         let endpoints = knowledge.known_endpoints().map(|known| endpoint(known, now));
         let refused = knowledge.refused().iter().map(|(id, entry)| RefusedDump {
-            id: cut(id, FOUND_MOST),
+            id: cut(id, MAX_FOUND_CHARS),
             era: entry.revision.era,
             revision: entry.revision.count,
             why: entry.fault.to_string(),
--- a/crates/gateway/src/process/store/entries.rs
+++ b/crates/gateway/src/process/store/entries.rs
@@ -10,7 +10,7 @@
 use sorrellock_platform::StoredObject;
 use sorrellock_routing::process::Revision;
 use sorrellock_routing::process::knowledge::{EndpointNews, Refusal, RefusalTold, RefusedEntry};
-use sorrellock_routing::process::{Endpoint, EntryFault, FOUND_MOST, FaultKind, cut};
+use sorrellock_routing::process::{Endpoint, EntryFault, FaultKind, MAX_FOUND_CHARS, cut};
 use spdlog::{info, warn};
 use std::rc::Rc;
 use tokio::time::Instant;
@@ -115,7 +115,7 @@
         }
         self.counters.add(Count::from(fault.kind()));
         if self.told_faults.borrow_mut().is_news(id, &fault) {
-            let (endpoint, why) = (cut(id, FOUND_MOST), fault.to_string());
+            let (endpoint, why) = (cut(id, MAX_FOUND_CHARS), fault.to_string());
             let known = refusal != Refusal::OfUnknown;
             warn!("entry of an endpoint can't be used", kv: {
                 endpoint = endpoint.as_str(), why = why.as_str(), known, era = revision.era,
@@ -157,7 +157,7 @@
     ) {
         self.counters.add(count);
         if self.told_faults.borrow_mut().is_news(&format!("{what}/{name}"), fault) {
-            let (name, why) = (cut(name, FOUND_MOST), fault.to_string());
+            let (name, why) = (cut(name, MAX_FOUND_CHARS), fault.to_string());
             warn!("{}", what, kv: { name = name.as_str(), why = why.as_str() });
         }
     }
--- a/crates/gateway/src/process/store/told_faults.rs
+++ b/crates/gateway/src/process/store/told_faults.rs
@@ -1,6 +1,6 @@
 //! What the log has told of objects in the store that can't be used.
 
-use sorrellock_routing::process::{EntryFault, FOUND_MOST, cut};
+use sorrellock_routing::process::{EntryFault, MAX_FOUND_CHARS, cut};
 use std::collections::HashSet;
 
 /// The most faults of which it is remembered that the log told them; then all may be told again.
@@ -19,6 +19,6 @@
             self.told.clear();
         }
         let field = fault.field().unwrap_or_default();
-        self.told.insert(format!("{}/{:?}/{field}", cut(name, FOUND_MOST), fault.kind()))
+        self.told.insert(format!("{}/{:?}/{field}", cut(name, MAX_FOUND_CHARS), fault.kind()))
     }
 }
--- a/crates/routing/src/process/entry_fault.rs
+++ b/crates/routing/src/process/entry_fault.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 
 /// Maximum number of characters kept of a value or a name: twice the length of the longest usual ids.
-pub const FOUND_MOST: usize = 60;
+pub const MAX_FOUND_CHARS: usize = 60;
 /// Maximum number of characters kept of a sentence that may contain such a value.
 pub const DETAIL_MOST: usize = 160;
 
@@ -63,7 +63,7 @@
 
     /// Creates the fault of a field that holds `found`.
     pub fn malformed(field: &'static str, found: &str) -> EntryFault {
-        EntryFault::Malformed { field: field.into(), found: cut(found, FOUND_MOST) }
+        EntryFault::Malformed { field: field.into(), found: cut(found, MAX_FOUND_CHARS) }
     }
 
     /// Returns the kind of the fault.
--- a/crates/routing/src/process/knowledge/refused_entries.rs
+++ b/crates/routing/src/process/knowledge/refused_entries.rs
@@ -1,6 +1,6 @@
 //! The entries of the list that name no endpoint to use.
 
-use crate::process::{Endpoint, EndpointId, EntryFault, FOUND_MOST, Revision, cut};
+use crate::process::{Endpoint, EndpointId, EntryFault, MAX_FOUND_CHARS, Revision, cut};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -75,5 +75,5 @@
 }
 
 fn key(id: &str) -> EndpointId {
-    if id.len() <= ID_MOST { id.to_owned() } else { cut(id, FOUND_MOST) }
+    if id.len() <= ID_MOST { id.to_owned() } else { cut(id, MAX_FOUND_CHARS) }
 }
