--- a/crates/routing/src/process/entry_fault.rs
+++ b/crates/routing/src/process/entry_fault.rs
@@ -7,7 +7,7 @@
 /// Maximum number of characters kept of a value or a name: twice the length of the longest usual ids.
 pub const MAX_FOUND_CHARS: usize = 60;
 /// Maximum number of characters kept of a sentence that may contain such a value.
-pub const DETAIL_MOST: usize = 160;
+pub const MAX_DETAIL_CHARS: usize = 160;
 
 /// Name of a field of an entry, as the list spells it.
 pub type FieldName = Cow<'static, str>;
@@ -53,7 +53,7 @@
 impl EntryFault {
     /// Creates the fault of an entry that can't be read.
     pub fn unreadable(detail: &str) -> EntryFault {
-        EntryFault::Unreadable { detail: cut(detail, DETAIL_MOST) }
+        EntryFault::Unreadable { detail: cut(detail, MAX_DETAIL_CHARS) }
     }
 
     /// Creates the fault of a missing field.
