--- a/crates/routing/src/process/knowledge/starts.rs
+++ b/crates/routing/src/process/knowledge/starts.rs
@@ -1,7 +1,7 @@
 //! Whether entries must tell a start, and those that don't.
 
 use super::knowledge::Knowledge;
-use crate::process::{Endpoint, EndpointId, Revision, do_most_tell_start, is_start_untold};
+use crate::process::{Endpoint, EndpointId, Revision, do_most_give_start, is_start_untold};
 use std::collections::HashSet;
 
 /// Entries whose start is judged otherwise than before.
@@ -24,7 +24,7 @@
         for endpoint in read {
             all.push(endpoint);
         }
-        self.is_start_required = do_most_tell_start(all);
+        self.is_start_required = do_most_give_start(all);
     }
 
     /// Whether an entry lacks a start that it must tell.
--- a/crates/routing/src/process/start_rule.rs
+++ b/crates/routing/src/process/start_rule.rs
@@ -6,7 +6,7 @@
 use crate::process::Endpoint;
 
 /// Returns whether more than half of the endpoints give their start.
-pub fn do_most_tell_start<'a>(endpoints: impl IntoIterator<Item = &'a Endpoint>) -> bool {
+pub fn do_most_give_start<'a>(endpoints: impl IntoIterator<Item = &'a Endpoint>) -> bool {
     let mut all: usize = 0;
     let mut with_start: usize = 0;
     for endpoint in endpoints {
--- a/crates/routing/tests/entries.rs
+++ b/crates/routing/tests/entries.rs
@@ -4,7 +4,7 @@
 
 use common::endpoint;
 use sorrellock_routing::process::{
-    Endpoint, EntryFault, FaultKind, cut, do_most_tell_start, is_start_untold,
+    Endpoint, EntryFault, FaultKind, cut, do_most_give_start, is_start_untold,
 };
 
 fn endpoints(with_start: usize, without: usize) -> Vec<Endpoint> {
@@ -17,7 +17,7 @@
     let table = [(0, 0, false), (0, 9, false), (4, 5, false), (5, 5, false), (5, 4, true)];
 
     for (with_start, without, expected) in table {
-        let is_required = do_most_tell_start(&endpoints(with_start, without));
+        let is_required = do_most_give_start(&endpoints(with_start, without));
 
         assert_eq!(is_required, expected, "{with_start} with, {without} without");
     }
