--- a/crates/routing/src/process/knowledge/starts.rs
+++ b/crates/routing/src/process/knowledge/starts.rs
@@ -1,7 +1,7 @@
 //! Whether entries must tell a start, and those that don't.
 
 use super::knowledge::Knowledge;
-use crate::process::{Endpoint, EndpointId, Revision, do_most_give_start, is_start_untold};
+use crate::process::{Endpoint, EndpointId, Revision, do_most_give_start, is_start_missing};
 use std::collections::HashSet;
 
 /// Entries whose start is judged otherwise than before.
@@ -29,7 +29,7 @@
 
     /// Whether an entry lacks a start that it must tell.
     pub fn lacks_start(&self, endpoint: &Endpoint) -> bool {
-        is_start_untold(endpoint, self.told_start(&endpoint.id), self.is_start_required)
+        is_start_missing(endpoint, self.told_start(&endpoint.id), self.is_start_required)
     }
 
     /// Whether an endpoint told its start before.
--- a/crates/routing/src/process/start_rule.rs
+++ b/crates/routing/src/process/start_rule.rs
@@ -18,6 +18,6 @@
 
 /// Returns whether an entry lacks a start that it should give: most endpoints give theirs, or this one did
 /// before.
-pub fn is_start_untold(endpoint: &Endpoint, had_start: bool, is_start_required: bool) -> bool {
+pub fn is_start_missing(endpoint: &Endpoint, had_start: bool, is_start_required: bool) -> bool {
     endpoint.started.is_none() && (is_start_required || had_start)
 }
--- a/crates/routing/tests/entries.rs
+++ b/crates/routing/tests/entries.rs
@@ -4,7 +4,7 @@
 
 use common::endpoint;
 use sorrellock_routing::process::{
-    Endpoint, EntryFault, FaultKind, cut, do_most_give_start, is_start_untold,
+    Endpoint, EntryFault, FaultKind, cut, do_most_give_start, is_start_missing,
 };
 
 fn endpoints(with_start: usize, without: usize) -> Vec<Endpoint> {
@@ -27,10 +27,10 @@
 fn an_endpoint_that_gave_its_start_once_must_keep_giving_it() {
     let (started, unstarted) = (endpoint("e", Some(5)), endpoint("e", None));
 
-    assert!(is_start_untold(&unstarted, true, false));
-    assert!(is_start_untold(&unstarted, false, true));
-    assert!(!is_start_untold(&unstarted, false, false));
-    assert!(!is_start_untold(&started, true, true));
+    assert!(is_start_missing(&unstarted, true, false));
+    assert!(is_start_missing(&unstarted, false, true));
+    assert!(!is_start_missing(&unstarted, false, false));
+    assert!(!is_start_missing(&started, true, true));
 }
 
 #[test]
