--- a/crates/bench/benches/chains.rs
+++ b/crates/bench/benches/chains.rs
@@ -91,7 +91,7 @@
     let paths = paths_by_head(holders, shape.layers);
     let most = |holder: &Holder| {
         let layers: u32 = paths.iter().map(|path| layers_at(path, &holder.incarnation)).sum();
-        holder.kv_room / shape.usual_tokens() / f64::from(layers)
+        holder.kv_capacity / shape.usual_tokens() / f64::from(layers)
     };
     let by_room = holders.iter().map(most).fold(f64::INFINITY, f64::min);
     by_room.min(f64::from(shape.slots)).floor() * paths.len() as f64
@@ -130,7 +130,7 @@
             data_centre: "north".into(),
             layers,
             layer_cost: card.step_factor * shape.step_ms / f64::from(shape.layers),
-            kv_room: shape.kv_room(card, layers.len()),
+            kv_capacity: shape.kv_capacity(card, layers.len()),
         })
     };
     engines.iter().filter_map(holder).collect()
--- a/crates/gateway/src/process/paths/path_book.rs
+++ b/crates/gateway/src/process/paths/path_book.rs
@@ -144,7 +144,7 @@
         now: Instant,
     ) -> bool {
         self.rooms
-            .extend(holders.iter().map(|holder| (holder.incarnation.clone(), holder.kv_room)));
+            .extend(holders.iter().map(|holder| (holder.incarnation.clone(), holder.kv_capacity)));
         let old = self.paths.remove(service).unwrap_or_default();
         for live in &old {
             let has = |wanted| live.path.parts.iter().any(|part| fate(&part.incarnation) == wanted);
--- a/crates/gateway/src/process/paths/path_refresh.rs
+++ b/crates/gateway/src/process/paths/path_refresh.rs
@@ -97,7 +97,7 @@
                 data_centre: endpoint.data_centre.clone(),
                 layers,
                 layer_cost: step_factor * shape.step_ms / f64::from(shape.layers),
-                kv_room: card.map_or(0.0, |card| shape.kv_room(card, layers.len())),
+                kv_capacity: card.map_or(0.0, |card| shape.kv_capacity(card, layers.len())),
             });
         }
         holders
--- a/crates/routing/src/process/path_search.rs
+++ b/crates/routing/src/process/path_search.rs
@@ -63,9 +63,9 @@
     pub(super) fn new(holders: &'a [&'a Holder], layers: u32, uses: &PathCounts) -> PathSearch<'a> {
         let layers = layers as usize;
         let mean_capacity =
-            holders.iter().map(|holder| holder.kv_room).sum::<f64>() / holders.len() as f64;
+            holders.iter().map(|holder| holder.kv_capacity).sum::<f64>() / holders.len() as f64;
         let layer_cost = |holder: &&Holder| {
-            let scarcity = mean_capacity.max(1.0) / holder.kv_room.max(1.0);
+            let scarcity = mean_capacity.max(1.0) / holder.kv_capacity.max(1.0);
             let uses = uses.get(&holder.incarnation).copied().unwrap_or_default();
             holder.layer_cost + SCARCITY_COST * scarcity + SHARED_COST * f64::from(uses)
         };
@@ -185,7 +185,7 @@
 
     fn path(&self, runs: Vec<(usize, LayerRange)>) -> PipelinePath {
         let token_room =
-            |run: &(usize, LayerRange)| self.holders[run.0].kv_room / f64::from(run.1.len());
+            |run: &(usize, LayerRange)| self.holders[run.0].kv_capacity / f64::from(run.1.len());
         let step_ms =
             |run: &(usize, LayerRange)| f64::from(run.1.len()) * self.holders[run.0].layer_cost;
         let crosses = |pair: &[(usize, LayerRange)]| {
--- a/crates/routing/src/process/pipeline_path.rs
+++ b/crates/routing/src/process/pipeline_path.rs
@@ -20,7 +20,7 @@
     /// Cost of one of its layers, in ms of a decoding step: pace and suspicion included.
     pub layer_cost: f64,
     /// KV cache that fits beside its layers, in tokens times layers.
-    pub kv_room: f64,
+    pub kv_capacity: f64,
 }
 
 /// One engine's part of a path.
@@ -103,7 +103,7 @@
     let mut others: Vec<&Holder> =
         holders.iter().filter(|holder| holder.incarnation != first.incarnation).collect();
     let rest = distinct_rest(&mut others, layers, first.layers.to)?;
-    let capacity = head.kv_room / f64::from(first.layers.len());
+    let capacity = head.kv_capacity / f64::from(first.layers.len());
     let crosses = u32::from(rest.data_centre != head.data_centre);
     Some(PipelinePath {
         data_centre: head.data_centre.clone(),
--- a/crates/routing/src/version/model_shape.rs
+++ b/crates/routing/src/version/model_shape.rs
@@ -62,14 +62,14 @@
     }
 
     /// Returns the KV cache that fits beside `held` layers, in tokens times layers.
-    pub fn kv_room(&self, card: &Card, held: u32) -> f64 {
+    pub fn kv_capacity(&self, card: &Card, held: u32) -> f64 {
         let free_mb = card.memory_mb - f64::from(held) * self.layer_mb;
         (free_mb / self.kv_mb_per_token_layer()).max(0.0)
     }
 
     /// Returns the number of tokens whose KV cache fits beside `held` layers, over the `held` layers.
     pub fn token_room(&self, card: &Card, held: u32) -> f64 {
-        if held == 0 { 0.0 } else { self.kv_room(card, held) / f64::from(held) }
+        if held == 0 { 0.0 } else { self.kv_capacity(card, held) / f64::from(held) }
     }
 
     /// Returns the memory of all layers' weights, in MB.
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -86,6 +86,6 @@
         data_centre: data_centre.into(),
         layers: LayerRange::new(from, to),
         layer_cost,
-        kv_room: 10_000.0,
+        kv_capacity: 10_000.0,
     }
 }
--- a/crates/routing/tests/paths.rs
+++ b/crates/routing/tests/paths.rs
@@ -106,7 +106,7 @@
 #[test]
 fn a_path_runs_few_layers_at_an_engine_with_little_room() {
     let mut holders = [holder("a", "x", 0, 8, 1.0), holder("b", "x", 4, 12, 1.0)];
-    holders[0].kv_room = 500.0;
+    holders[0].kv_capacity = 500.0;
 
     let path = cheapest_path(&holders, 12).expect("they cover all layers");
 
