--- a/crates/gateway/src/process/dump.rs
+++ b/crates/gateway/src/process/dump.rs
@@ -210,7 +210,7 @@
             service: service.name.clone(),
             data_centre: live.path.data_centre.clone(),
             engines: live.path.parts.iter().map(|part| part.incarnation.to_string()).collect(),
-            room: live.path.token_room,
+            room: live.path.token_capacity,
             tokens: live.tokens.get(),
             streams: live.streams.get(),
             is_superseded: live.is_superseded.get(),
--- a/crates/gateway/src/process/paths/path_book.rs
+++ b/crates/gateway/src/process/paths/path_book.rs
@@ -309,7 +309,7 @@
                 "{} {state} {:.0}% of {:.0} tokens, {}/{} streams",
                 live.path.data_centre,
                 self.fill(live, &used, 0.0) * 100.0,
-                live.path.token_room,
+                live.path.token_capacity,
                 self.head_streams(service, &live.path.first().incarnation),
                 live.slots
             )
--- a/crates/gateway/src/process/paths/path_refresh.rs
+++ b/crates/gateway/src/process/paths/path_refresh.rs
@@ -51,7 +51,7 @@
                     info!("path in use", kv: {
                         service = service.name.as_str(),
                         data_centre = live.path.data_centre.as_str(),
-                        room = live.path.token_room.round(), step_ms = live.path.step_ms,
+                        room = live.path.token_capacity.round(), step_ms = live.path.step_ms,
                         path = text.as_str()
                     });
                 }
--- a/crates/gateway/src/process/placer/planning.rs
+++ b/crates/gateway/src/process/placer/planning.rs
@@ -180,7 +180,7 @@
             let card = endpoint.card.as_deref().and_then(|card| shape.card(card));
             let ready = engine.ready();
             if let Some(card) = card.filter(|_| !ready.is_empty()) {
-                least = least.min(shape.token_room(card, ready.len()));
+                least = least.min(shape.token_capacity(card, ready.len()));
             }
             for layer in ready.from..ready.to.min(shape.layers) {
                 covered[layer as usize] = true;
@@ -194,6 +194,6 @@
 /// keeps some memory for requests while the chain has a gap.
 fn most_layers(shape: &ModelShape, card: &Card, least_room: f64) -> u32 {
     let most = shape.most_layers(card).saturating_sub(HULL_MARGIN_LAYERS);
-    let fits = |layers: &u32| shape.token_room(card, *layers) >= least_room;
+    let fits = |layers: &u32| shape.token_capacity(card, *layers) >= least_room;
     (1..=most).rev().find(fits).unwrap_or(0)
 }
--- a/crates/routing/src/process/path_search.rs
+++ b/crates/routing/src/process/path_search.rs
@@ -184,7 +184,7 @@
     }
 
     fn path(&self, runs: Vec<(usize, LayerRange)>) -> PipelinePath {
-        let token_room =
+        let token_capacity =
             |run: &(usize, LayerRange)| self.holders[run.0].kv_capacity / f64::from(run.1.len());
         let step_ms =
             |run: &(usize, LayerRange)| f64::from(run.1.len()) * self.holders[run.0].layer_cost;
@@ -193,7 +193,7 @@
         };
         PipelinePath {
             data_centre: self.holders[runs[0].0].data_centre.clone(),
-            token_room: runs.iter().map(token_room).fold(f64::INFINITY, f64::min),
+            token_capacity: runs.iter().map(token_capacity).fold(f64::INFINITY, f64::min),
             step_ms: runs.iter().map(step_ms).sum(),
             crossings: runs.windows(2).filter(|pair| crosses(pair)).count() as u32,
             parts: runs.iter().map(|run| part(self.holders[run.0], run.1)).collect(),
--- a/crates/routing/src/process/pipeline_path.rs
+++ b/crates/routing/src/process/pipeline_path.rs
@@ -42,7 +42,7 @@
     /// Its parts, in order of layers; never empty.
     pub parts: Vec<PathPart>,
     /// Tokens that fit into the part with the least capacity.
-    pub token_room: f64,
+    pub token_capacity: f64,
     /// Duration of one step over all layers, without other requests, in ms.
     pub step_ms: f64,
     /// Number of changes of data centre along the path.
@@ -107,7 +107,7 @@
     let crosses = u32::from(rest.data_centre != head.data_centre);
     Some(PipelinePath {
         data_centre: head.data_centre.clone(),
-        token_room: rest.token_room.min(capacity),
+        token_capacity: rest.token_capacity.min(capacity),
         step_ms: rest.step_ms + f64::from(first.layers.len()) * head.layer_cost,
         crossings: rest.crossings + crosses,
         parts: std::iter::once(first.clone()).chain(rest.parts).collect(),
--- a/crates/routing/src/version/model_shape.rs
+++ b/crates/routing/src/version/model_shape.rs
@@ -68,7 +68,7 @@
     }
 
     /// Returns the number of tokens whose KV cache fits beside `held` layers, over the `held` layers.
-    pub fn token_room(&self, card: &Card, held: u32) -> f64 {
+    pub fn token_capacity(&self, card: &Card, held: u32) -> f64 {
         if held == 0 { 0.0 } else { self.kv_capacity(card, held) / f64::from(held) }
     }
 
--- a/crates/routing/tests/paths.rs
+++ b/crates/routing/tests/paths.rs
@@ -111,7 +111,7 @@
     let path = cheapest_path(&holders, 12).expect("they cover all layers");
 
     assert_eq!(path.parts[0].layers.to, 4);
-    assert_eq!(path.token_room, 125.0);
+    assert_eq!(path.token_capacity, 125.0);
 }
 
 #[test]
