--- a/crates/gateway/src/process/placer/planning.rs
+++ b/crates/gateway/src/process/placer/planning.rs
@@ -154,13 +154,13 @@
                 continue;
             };
             let card = endpoint.card.as_deref().and_then(|card| shape.card(card));
-            let most = card.map_or(0, |card| most_layers(shape, card, least_room));
+            let most = card.map_or(0, |card| max_layers(shape, card, least_room));
             // One without an entry to use gets no order.
             let is_unusable = knowledge.is_unusable(&endpoint.id);
             let is_busy = engine.is_moving() || now < engine.order_after || is_unusable;
             holdings.insert(
                 endpoint.incarnation(),
-                Holding { ready: engine.ready(), most_layers: most, is_busy },
+                Holding { ready: engine.ready(), max_layers: most, is_busy },
             );
         }
         holdings
@@ -192,8 +192,8 @@
 
 /// The most layers that an engine may hold for a while: it must not bound its chain further, and
 /// keeps some memory for requests while the chain has a gap.
-fn most_layers(shape: &ModelShape, card: &Card, least_room: f64) -> u32 {
-    let most = shape.most_layers(card).saturating_sub(HULL_MARGIN_LAYERS);
+fn max_layers(shape: &ModelShape, card: &Card, least_room: f64) -> u32 {
+    let most = shape.max_layers(card).saturating_sub(HULL_MARGIN_LAYERS);
     let fits = |layers: &u32| shape.token_capacity(card, *layers) >= least_room;
     (1..=most).rev().find(fits).unwrap_or(0)
 }
--- a/crates/routing/src/process/placement/chain_plan.rs
+++ b/crates/routing/src/process/placement/chain_plan.rs
@@ -130,7 +130,7 @@
     let mut taken = vec![vec![0u32; layers + 1]; engines.len() + 1];
     best[0][0] = 0.0;
     for (index, engine) in engines.iter().enumerate() {
-        let most = costs.most_layers(index);
+        let most = costs.max_layers(index);
         for from in 0..=layers {
             let so_far = best[index][from];
             if so_far.is_infinite() {
@@ -200,7 +200,7 @@
         EngineCosts { by_count, weights }
     }
 
-    fn most_layers(&self, index: usize) -> u32 {
+    fn max_layers(&self, index: usize) -> u32 {
         self.by_count[index].len().saturating_sub(1) as u32
     }
 
--- a/crates/routing/src/process/placement/transition.rs
+++ b/crates/routing/src/process/placement/transition.rs
@@ -10,7 +10,7 @@
     /// The layers that it can run now.
     pub ready: LayerRange,
     /// The most layers that it may hold for a while.
-    pub most_layers: u32,
+    pub max_layers: u32,
     /// An order is under way: it takes no other.
     pub is_busy: bool,
 }
@@ -65,7 +65,7 @@
 /// up takes seconds.
 fn growing(want: LayerRange, holding: &Holding) -> LayerRange {
     let both = holding.ready.hull(want);
-    if both.len() <= holding.most_layers { both } else { want }
+    if both.len() <= holding.max_layers { both } else { want }
 }
 
 /// What an engine may hold next without taking a layer away that only it runs.
@@ -91,14 +91,14 @@
         return Some(want);
     }
     let both = holding.ready.hull(want);
-    if both.len() <= holding.most_layers {
+    if both.len() <= holding.max_layers {
         return Some(both);
     }
     let least = kept.hull(want);
-    if least.len() <= holding.most_layers {
+    if least.len() <= holding.max_layers {
         return Some(least);
     }
-    grown_in_part(kept, want, holding.most_layers)
+    grown_in_part(kept, want, holding.max_layers)
 }
 
 /// As many layers towards `want` beside `kept` as fit; nothing if none does.
--- a/crates/routing/src/version/model_shape.rs
+++ b/crates/routing/src/version/model_shape.rs
@@ -57,7 +57,7 @@
     }
 
     /// Returns the maximum number of layers that a card's memory holds, without any space for KV cache.
-    pub fn most_layers(&self, card: &Card) -> u32 {
+    pub fn max_layers(&self, card: &Card) -> u32 {
         ((card.memory_mb / self.layer_mb).floor() as u32).min(self.layers)
     }
 
--- a/crates/routing/tests/placement.rs
+++ b/crates/routing/tests/placement.rs
@@ -207,7 +207,7 @@
 fn holdings(shape: &ModelShape, engines: &[PlannedEngine]) -> BTreeMap<Incarnation, Holding> {
     let holding = |one: &PlannedEngine| Holding {
         ready: one.held,
-        most_layers: (one.memory_mb / shape.layer_mb) as u32,
+        max_layers: (one.memory_mb / shape.layer_mb) as u32,
         is_busy: false,
     };
     engines.iter().map(|one| (one.incarnation.clone(), holding(one))).collect()
@@ -267,7 +267,7 @@
         };
         let ids = ["a", "b", "c"];
         let mut now: BTreeMap<Incarnation, Holding> = ids.iter().zip(ranges(cuts)).map(|(id, range)| {
-            (incarnation(id), Holding { ready: range, most_layers: 12, is_busy: false })
+            (incarnation(id), Holding { ready: range, max_layers: 12, is_busy: false })
         }).collect();
         let plan: Placement =
             ids.iter().zip(ranges(to)).map(|(id, range)| (incarnation(id), range)).collect();
