--- a/crates/gateway/src/request/answer.rs
+++ b/crates/gateway/src/request/answer.rs
@@ -12,7 +12,7 @@
 use rand::RngExt;
 use sorrellock_http::{AnswerBody, Cut};
 use sorrellock_platform::{CallerHead, read_caller_head};
-use sorrellock_routing::request::GivenUp;
+use sorrellock_routing::request::AbandonedOutcome;
 use sorrellock_routing::version::{NotAllowed, Route, RouteTable, ServiceName};
 use spdlog::info;
 use std::rc::Rc;
@@ -84,7 +84,7 @@
         call.end.tell_refused_leaving();
         let why = "this gateway ends before the answer may";
         let wait = come_back(&gateway, call.deadline);
-        return Ok(give_up(&call, GivenUp::NotRun, wait, why));
+        return Ok(give_up(&call, AbandonedOutcome::NotRun, wait, why));
     }
     match has_model {
         true => serve_stream(gateway, call).await,
--- a/crates/gateway/src/request/final_answer.rs
+++ b/crates/gateway/src/request/final_answer.rs
@@ -7,7 +7,7 @@
 use http::{HeaderValue, Response, StatusCode, header};
 use sorrellock_http::AnswerBody;
 use sorrellock_platform::{answer_headers, retry_after};
-use sorrellock_routing::request::GivenUp;
+use sorrellock_routing::request::AbandonedOutcome;
 use std::time::Duration;
 
 /// An endpoint's answer that came whole, for the caller.
@@ -34,15 +34,17 @@
 /// The final answer of a request that was given up.
 pub(crate) fn give_up(
     call: &Call,
-    given_up: GivenUp,
+    given_up: AbandonedOutcome,
     come_back: Duration,
     why: &str,
 ) -> Response<AnswerBody> {
     let (count, outcome, status) = match given_up {
-        GivenUp::NotRun => (Count::NotRun, "not run", StatusCode::SERVICE_UNAVAILABLE),
-        GivenUp::Unknown => (Count::Unknown, "may have run", StatusCode::BAD_GATEWAY),
-        GivenUp::TimedOut => (Count::TimedOut, "may have run", StatusCode::GATEWAY_TIMEOUT),
+        AbandonedOutcome::NotRun => (Count::NotRun, "not run", StatusCode::SERVICE_UNAVAILABLE),
+        AbandonedOutcome::Unknown => (Count::Unknown, "may have run", StatusCode::BAD_GATEWAY),
+        AbandonedOutcome::TimedOut => {
+            (Count::TimedOut, "may have run", StatusCode::GATEWAY_TIMEOUT)
+        }
     };
     call.end.tell(count, outcome, status.as_u16(), why);
-    refusal(status, (given_up == GivenUp::NotRun).then_some(come_back))
+    refusal(status, (given_up == AbandonedOutcome::NotRun).then_some(come_back))
 }
--- a/crates/gateway/src/request/run_search.rs
+++ b/crates/gateway/src/request/run_search.rs
@@ -6,7 +6,7 @@
 use http::{Response, StatusCode};
 use http_body_util::{BodyExt, Limited};
 use sorrellock_http::AnswerBody;
-use sorrellock_routing::request::{Attempts, Evidence, GivenUp};
+use sorrellock_routing::request::{AbandonedOutcome, Attempts, Evidence};
 use spdlog::info;
 use std::future::pending;
 use std::rc::Rc;
@@ -256,7 +256,12 @@
     let (parts, body) = run.begun.answer.into_parts();
     let body = timeout(call.time_left(), Limited::new(body, MAX_FAILURE_BYTES).collect()).await;
     let Ok(Ok(body)) = body else {
-        return give_up(call, GivenUp::Unknown, RETRY_AFTER_FULL, "an engine's failure broke off");
+        return give_up(
+            call,
+            AbandonedOutcome::Unknown,
+            RETRY_AFTER_FULL,
+            "an engine's failure broke off",
+        );
     };
     pass_on(&parts, body.to_bytes())
 }
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -8,7 +8,7 @@
 use http::Response;
 use sorrellock_http::{AnswerBody, Cut};
 use sorrellock_platform::answer_headers;
-use sorrellock_routing::request::{Attempts, GivenUp};
+use sorrellock_routing::request::{AbandonedOutcome, Attempts};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -35,7 +35,9 @@
     let mut avoid = Vec::new();
     let until = Instant::now() + ROOM_PATIENCE;
     let mut began = begin(&gateway, &call, &mut attempts, last, &mut avoid, until).await;
-    if matches!(began, Err(NotBegun::NoPlace(_))) && attempts.given_up(false) != GivenUp::NotRun {
+    if matches!(began, Err(NotBegun::NoPlace(_)))
+        && attempts.given_up(false) != AbandonedOutcome::NotRun
+    {
         // It can't be refused as not run any more: a place that frees serves its caller better than no answer.
         avoid.retain(|live| live.is_broken());
         let until = (call.arrived + FIRST_EVENT_WAIT).min(call.deadline);
--- a/crates/routing/src/request/evidence.rs
+++ b/crates/routing/src/request/evidence.rs
@@ -19,7 +19,7 @@
 
 /// Outcome reported to the caller of an abandoned request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GivenUp {
+pub enum AbandonedOutcome {
     /// The request ran nowhere and never will.
     NotRun,
     /// The request may have run, and no answer will come.
@@ -106,11 +106,11 @@
     }
 
     /// Returns the outcome that is reported to the caller when the request is abandoned.
-    pub fn given_up(&self, time_is_over: bool) -> GivenUp {
+    pub fn given_up(&self, time_is_over: bool) -> AbandonedOutcome {
         match (self.may_have_run, time_is_over) {
-            (false, _) => GivenUp::NotRun,
-            (true, true) => GivenUp::TimedOut,
-            (true, false) => GivenUp::Unknown,
+            (false, _) => AbandonedOutcome::NotRun,
+            (true, true) => AbandonedOutcome::TimedOut,
+            (true, false) => AbandonedOutcome::Unknown,
         }
     }
 }
