--- a/crates/gateway/src/request/final_answer.rs
+++ b/crates/gateway/src/request/final_answer.rs
@@ -34,11 +34,11 @@
 /// The final answer of a request that was given up.
 pub(crate) fn give_up(
     call: &Call,
-    given_up: AbandonedOutcome,
+    abandoned_outcome: AbandonedOutcome,
     come_back: Duration,
     why: &str,
 ) -> Response<AnswerBody> {
-    let (count, outcome, status) = match given_up {
+    let (count, outcome, status) = match abandoned_outcome {
         AbandonedOutcome::NotRun => (Count::NotRun, "not run", StatusCode::SERVICE_UNAVAILABLE),
         AbandonedOutcome::Unknown => (Count::Unknown, "may have run", StatusCode::BAD_GATEWAY),
         AbandonedOutcome::TimedOut => {
@@ -46,5 +46,5 @@
         }
     };
     call.end.tell(count, outcome, status.as_u16(), why);
-    refusal(status, (given_up == AbandonedOutcome::NotRun).then_some(come_back))
+    refusal(status, (abandoned_outcome == AbandonedOutcome::NotRun).then_some(come_back))
 }
--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -210,8 +210,8 @@
             // The endpoint's own failure, signed, tells more than one of the gateway's.
             Some((answer, endpoint)) => done(call, &endpoint, answer),
             None => {
-                let given_up = self.attempts.given_up(call.time_left().is_zero());
-                give_up(call, given_up, RETRY_AFTER, &self.why)
+                let abandoned_outcome = self.attempts.abandoned_outcome(call.time_left().is_zero());
+                give_up(call, abandoned_outcome, RETRY_AFTER, &self.why)
             }
         }
     }
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -36,7 +36,7 @@
     let until = Instant::now() + ROOM_PATIENCE;
     let mut began = begin(&gateway, &call, &mut attempts, last, &mut avoid, until).await;
     if matches!(began, Err(NotBegun::NoPlace(_)))
-        && attempts.given_up(false) != AbandonedOutcome::NotRun
+        && attempts.abandoned_outcome(false) != AbandonedOutcome::NotRun
     {
         // It can't be refused as not run any more: a place that frees serves its caller better than no answer.
         avoid.retain(|live| live.is_broken());
@@ -70,7 +70,7 @@
     };
     let is_over = matches!(not_begun, NotBegun::TimeOver);
     let paths = gateway.paths.borrow().describe(&call.service, Instant::now());
-    give_up(call, attempts.given_up(is_over), come_back, &format!("{why}: {paths}"))
+    give_up(call, attempts.abandoned_outcome(is_over), come_back, &format!("{why}: {paths}"))
 }
 
 fn start_relay(
--- a/crates/routing/src/request/evidence.rs
+++ b/crates/routing/src/request/evidence.rs
@@ -106,7 +106,7 @@
     }
 
     /// Returns the outcome that is reported to the caller when the request is abandoned.
-    pub fn given_up(&self, time_is_over: bool) -> AbandonedOutcome {
+    pub fn abandoned_outcome(&self, time_is_over: bool) -> AbandonedOutcome {
         match (self.may_have_run, time_is_over) {
             (false, _) => AbandonedOutcome::NotRun,
             (true, true) => AbandonedOutcome::TimedOut,
--- a/crates/routing/tests/attempts.rs
+++ b/crates/routing/tests/attempts.rs
@@ -29,11 +29,11 @@
 
     attempts.on_failed(&incarnation("a"), Evidence::NotSent);
     attempts.on_failed(&incarnation("a"), Evidence::NotRun);
-    assert_eq!(attempts.given_up(false), AbandonedOutcome::NotRun);
+    assert_eq!(attempts.abandoned_outcome(false), AbandonedOutcome::NotRun);
     attempts.on_failed(&incarnation("b"), Evidence::MayHaveRun);
 
-    assert_eq!(attempts.given_up(false), AbandonedOutcome::Unknown);
-    assert_eq!(attempts.given_up(true), AbandonedOutcome::TimedOut);
+    assert_eq!(attempts.abandoned_outcome(false), AbandonedOutcome::Unknown);
+    assert_eq!(attempts.abandoned_outcome(true), AbandonedOutcome::TimedOut);
 }
 
 #[test]
@@ -68,7 +68,7 @@
     assert!(stream.may_send_to(&after));
     once.forget_lost(|incarnation| *incarnation == before);
     assert!(!once.may_send_to(&after));
-    assert_eq!(once.given_up(false), AbandonedOutcome::Unknown);
+    assert_eq!(once.abandoned_outcome(false), AbandonedOutcome::Unknown);
 }
 
 #[test]
