--- a/crates/gateway/src/process/gateway.rs
+++ b/crates/gateway/src/process/gateway.rs
@@ -170,11 +170,11 @@
 
     /// When a caller that this gateway refuses as it ends should come back, by what the gateways tell
     /// each other.
-    pub(crate) fn come_back(&self, now: Instant) -> Duration {
+    pub(crate) fn retry_delay(&self, now: Instant) -> Duration {
         let Some(leaving) = self.leaving.get() else { return Duration::ZERO };
         let beliefs = self.beliefs.borrow();
         let (near, elsewhere) = beliefs.ready_in(&self.settings.data_centre, now);
-        leaving.come_back(&near, &elsewhere, now.into_std())
+        leaving.retry_delay(&near, &elsewhere, now.into_std())
     }
 
     /// Whether a stream that lost its run may go on over another path before this gateway ends.
--- a/crates/gateway/src/request/answer.rs
+++ b/crates/gateway/src/request/answer.rs
@@ -83,7 +83,7 @@
     if !takes(&gateway, &call, has_model) {
         call.end.tell_refused_leaving();
         let why = "this gateway ends before the answer may";
-        let wait = come_back(&gateway, call.deadline);
+        let wait = retry_delay(&gateway, call.deadline);
         return Ok(give_up(&call, AbandonedOutcome::NotRun, wait, why));
     }
     match has_model {
@@ -145,16 +145,16 @@
         BodyFault::Ending => {
             end.tell_refused_leaving();
             end.tell(Count::NotRun, "not run", 503, "this gateway ends before the body came");
-            let wait = come_back(gateway, deadline);
+            let wait = retry_delay(gateway, deadline);
             Ok(refusal(StatusCode::SERVICE_UNAVAILABLE, Some(wait)))
         }
     }
 }
 
 /// When a caller that this gateway refuses as it ends should come back: at once where another takes it.
-fn come_back(gateway: &Gateway, deadline: Instant) -> Duration {
+fn retry_delay(gateway: &Gateway, deadline: Instant) -> Duration {
     let now = Instant::now();
-    let wait = gateway.come_back(now);
+    let wait = gateway.retry_delay(now);
     if wait.is_zero() {
         return wait;
     }
--- a/crates/gateway/src/request/final_answer.rs
+++ b/crates/gateway/src/request/final_answer.rs
@@ -19,13 +19,13 @@
 }
 
 /// An answer of the gateway's own.
-pub(crate) fn refusal(status: StatusCode, come_back: Option<Duration>) -> Response<AnswerBody> {
+pub(crate) fn refusal(status: StatusCode, retry_delay: Option<Duration>) -> Response<AnswerBody> {
     let text = status.canonical_reason().unwrap_or("refused");
     let mut answer = Response::new(AnswerBody::whole(Bytes::from_static(text.as_bytes())));
     *answer.status_mut() = status;
     let headers = answer.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-    if let Some(wait) = come_back {
+    if let Some(wait) = retry_delay {
         headers.insert(header::RETRY_AFTER, retry_after(wait));
     }
     answer
@@ -35,7 +35,7 @@
 pub(crate) fn give_up(
     call: &Call,
     abandoned_outcome: AbandonedOutcome,
-    come_back: Duration,
+    retry_delay: Duration,
     why: &str,
 ) -> Response<AnswerBody> {
     let (count, outcome, status) = match abandoned_outcome {
@@ -46,5 +46,5 @@
         }
     };
     call.end.tell(count, outcome, status.as_u16(), why);
-    refusal(status, (abandoned_outcome == AbandonedOutcome::NotRun).then_some(come_back))
+    refusal(status, (abandoned_outcome == AbandonedOutcome::NotRun).then_some(retry_delay))
 }
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -60,7 +60,7 @@
     attempts: &Attempts,
     not_begun: &NotBegun,
 ) -> Response<AnswerBody> {
-    let (why, come_back) = match not_begun {
+    let (why, retry_delay) = match not_begun {
         NotBegun::NoPlace(NoPlace::Full) => ("all paths are full", RETRY_AFTER_FULL),
         NotBegun::NoPlace(NoPlace::NoPath) => ("no engines hold all layers", RETRY_AFTER_NO_PATH),
         NotBegun::Spent => ("attempts or their budget are spent", RETRY_AFTER_FULL),
@@ -70,7 +70,7 @@
     };
     let is_over = matches!(not_begun, NotBegun::TimeOver);
     let paths = gateway.paths.borrow().describe(&call.service, Instant::now());
-    give_up(call, attempts.abandoned_outcome(is_over), come_back, &format!("{why}: {paths}"))
+    give_up(call, attempts.abandoned_outcome(is_over), retry_delay, &format!("{why}: {paths}"))
 }
 
 fn start_relay(
--- a/crates/routing/src/process/leaving.rs
+++ b/crates/routing/src/process/leaving.rs
@@ -75,7 +75,7 @@
     ///
     /// Balancers send to all processes of a data centre, ready or not, until half of them are ready, and
     /// elsewhere once they have seen that none is.
-    pub fn come_back(&self, near: &[Duration], elsewhere: &[Duration], now: Instant) -> Duration {
+    pub fn retry_delay(&self, near: &[Duration], elsewhere: &[Duration], now: Instant) -> Duration {
         let mut near = near.to_vec();
         near.push(self.successor_in(now));
         let is_any_ready = |all: &[Duration]| all.iter().any(Duration::is_zero);
--- a/crates/routing/tests/knowledge_eras/fleet.rs
+++ b/crates/routing/tests/knowledge_eras/fleet.rs
@@ -160,7 +160,7 @@
     fn run_store(&mut self) {
         let now = self.now;
         if let Some((_, ago)) = self.comes_back.take_if(|(at, _)| *at <= now) {
-            self.store.come_back(ago, now);
+            self.store.retry_delay(ago, now);
         }
         if self.is_away() {
             return;
--- a/crates/routing/tests/knowledge_eras/store.rs
+++ b/crates/routing/tests/knowledge_eras/store.rs
@@ -62,7 +62,7 @@
     }
 
     /// Comes back from its copy of so many ms ago, or the oldest one; leases begin anew.
-    pub fn come_back(&mut self, ago: u64, now: u64) {
+    pub fn retry_delay(&mut self, ago: u64, now: u64) {
         let found = self.copies.iter().rev().find(|(at, _)| *at + ago <= now);
         let Some((_, copy)) = found.or(self.copies.first()) else { return };
         self.era += 1;
--- a/crates/routing/tests/leaving.rs
+++ b/crates/routing/tests/leaving.rs
@@ -105,7 +105,7 @@
 fn callers_retry_at_once_if_half_of_the_data_centre_is_ready() {
     let leaving = leaving(Instant::now());
 
-    let wait = leaving.come_back(&seconds(&[0.0, 3.0, 0.0]), &seconds(&[9.0]), leaving.signalled);
+    let wait = leaving.retry_delay(&seconds(&[0.0, 3.0, 0.0]), &seconds(&[9.0]), leaving.signalled);
 
     assert_eq!(wait, Duration::ZERO);
 }
@@ -115,7 +115,7 @@
     let leaving = leaving(Instant::now());
 
     let wait =
-        leaving.come_back(&seconds(&[0.0, 3.0, 4.0]), &seconds(&[0.0, 0.0]), leaving.signalled);
+        leaving.retry_delay(&seconds(&[0.0, 3.0, 4.0]), &seconds(&[0.0, 0.0]), leaving.signalled);
 
     assert_eq!(wait, Duration::from_secs(3 + 1));
 }
@@ -125,7 +125,11 @@
     let leaving = leaving(Instant::now());
     let elsewhere = seconds(&[0.0, 0.0]);
     let wait_at = |ms, near: &[f64]| {
-        leaving.come_back(&seconds(near), &elsewhere, leaving.signalled + Duration::from_millis(ms))
+        leaving.retry_delay(
+            &seconds(near),
+            &elsewhere,
+            leaving.signalled + Duration::from_millis(ms),
+        )
     };
 
     let unseen = wait_at(500, &[]);
@@ -142,7 +146,7 @@
 fn callers_of_a_lone_process_retry_at_its_successor() {
     let leaving = leaving(Instant::now());
 
-    let wait = leaving.come_back(&[], &[], leaving.ends - Duration::from_secs(2));
+    let wait = leaving.retry_delay(&[], &[], leaving.ends - Duration::from_secs(2));
 
     assert_eq!(wait, Duration::from_millis(2_000 + 1_500 + 1_000));
 }
