--- a/crates/gateway/src/process/gateway.rs
+++ b/crates/gateway/src/process/gateway.rs
@@ -284,7 +284,7 @@
             return;
         }
         self.refresh_paths();
-        broken.iter().for_each(|live| live.break_up());
+        broken.iter().for_each(|live| live.mark_broken());
     }
 
     fn hear_suspicion(&self, report: &ReportedSuspect, instance: &str, now: Instant) {
--- a/crates/gateway/src/process/paths/live_path.rs
+++ b/crates/gateway/src/process/paths/live_path.rs
@@ -171,8 +171,8 @@
     }
 
     /// Its streams look for other paths. They keep their runs until another one has begun.
-    pub(crate) fn break_up(&self) {
-        if self.update(PathHealth::break_up) {
+    pub(crate) fn mark_broken(&self) {
+        if self.update(PathHealth::mark_broken) {
             self.changed.notify_waiters();
         }
     }
--- a/crates/gateway/src/process/paths/path_check.rs
+++ b/crates/gateway/src/process/paths/path_check.rs
@@ -122,7 +122,7 @@
         Err(Unanswered::Failed(err)) => {
             gateway.suspect(&part.incarnation, evidence_of(&err), &err.to_string());
             if live.is_quiet(Instant::now(), Duration::ZERO) {
-                live.break_up();
+                live.mark_broken();
             }
         }
         // Other gateways ask too, and so does the lead.
--- a/crates/routing/src/process/path_health.rs
+++ b/crates/routing/src/process/path_health.rs
@@ -57,7 +57,7 @@
     }
 
     /// Breaks the path because it is idle and an engine of it was found dead. Returns whether it breaks now.
-    pub fn break_up(&mut self) -> bool {
+    pub fn mark_broken(&mut self) -> bool {
         std::mem::replace(&mut self.state, State::Broken) != State::Broken
     }
 
