--- a/crates/gateway/src/process/paths/live_path.rs
+++ b/crates/gateway/src/process/paths/live_path.rs
@@ -157,8 +157,8 @@
     }
 
     /// Takes whether an engine of it is judged to be dead.
-    pub(crate) fn judge(&self, is_dead: bool, now: Instant) {
-        self.update(|health| health.judge(is_dead));
+    pub(crate) fn set_suspected(&self, is_dead: bool, now: Instant) {
+        self.update(|health| health.set_suspected(is_dead));
         self.break_if_suspected(now);
     }
 
--- a/crates/gateway/src/process/paths/path_book.rs
+++ b/crates/gateway/src/process/paths/path_book.rs
@@ -148,7 +148,7 @@
         let old = self.paths.remove(service).unwrap_or_default();
         for live in &old {
             let has = |wanted| live.path.parts.iter().any(|part| fate(&part.incarnation) == wanted);
-            live.judge(has(EngineFate::Dead), now);
+            live.set_suspected(has(EngineFate::Dead), now);
             live.set_leaving(has(EngineFate::Leaves), leaving_serves_for, now);
         }
         let mut is_changed = false;
--- a/crates/routing/tests/path_health.rs
+++ b/crates/routing/tests/path_health.rs
@@ -5,7 +5,7 @@
 
 fn suspected_path() -> PathHealth {
     let mut health = PathHealth::default();
-    health.judge(true);
+    health.set_suspected(true);
     health
 }
 
@@ -46,7 +46,7 @@
     health.break_if_suspected(true);
 
     let is_restored = health.on_event(Instant::now());
-    health.judge(true);
+    health.set_suspected(true);
     health.break_if_suspected(true);
 
     assert!(is_restored);
@@ -58,8 +58,8 @@
     let mut health = suspected_path();
     health.on_event(Instant::now());
 
-    health.judge(false);
-    health.judge(true);
+    health.set_suspected(false);
+    health.set_suspected(true);
     health.break_if_suspected(true);
 
     assert!(health.is_broken());
