--- a/crates/gateway/src/process/gateway.rs
+++ b/crates/gateway/src/process/gateway.rs
@@ -322,7 +322,8 @@
     /// Why an endpoint is taken to be dead, and by whom; none while it is not. For log lines.
     pub(crate) fn judgement(&self, incarnation: &Incarnation) -> Option<String> {
         let now = Instant::now();
-        if self.has_ended(incarnation) || self.incarnations.borrow().is_over(incarnation) {
+        if self.has_ended(incarnation) || self.incarnations.borrow().is_confirmed_ended(incarnation)
+        {
             return Some("ended".to_owned());
         }
         let beliefs = self.beliefs.borrow();
@@ -361,7 +362,7 @@
     /// Whether an endpoint has ended or is cut off, as far as the lead can tell, or its incarnation is over
     /// for good.
     pub(crate) fn is_dead(&self, incarnation: &Incarnation) -> bool {
-        if self.incarnations.borrow().is_over(incarnation) {
+        if self.incarnations.borrow().is_confirmed_ended(incarnation) {
             return true;
         }
         let beliefs = self.beliefs.borrow();
@@ -371,7 +372,7 @@
     /// Whether an incarnation is over for good, or its endpoint is no longer known. One that the lead takes to be dead may only have
     /// paused, and still run what it was sent.
     pub(crate) fn is_gone(&self, incarnation: &Incarnation) -> bool {
-        self.incarnations.borrow().is_over(incarnation) || !self.is_listed(incarnation)
+        self.incarnations.borrow().is_confirmed_ended(incarnation) || !self.is_listed(incarnation)
     }
 
     /// Whether an endpoint has ended, or failed just now as if it had.
--- a/crates/routing/src/process/incarnations.rs
+++ b/crates/routing/src/process/incarnations.rs
@@ -116,10 +116,10 @@
     }
 
     /// Returns whether an incarnation is over for good, as confirmed by an answer.
-    pub fn is_over(&self, incarnation: &Incarnation) -> bool {
+    pub fn is_confirmed_ended(&self, incarnation: &Incarnation) -> bool {
         self.endpoints
             .get(&incarnation.id)
-            .is_some_and(|incarnations| incarnations.is_over(incarnation.started))
+            .is_some_and(|incarnations| incarnations.is_confirmed_ended(incarnation.started))
     }
 
     /// Applies an entry of `incarnation` that was written at `revision` and is read at `now`.
@@ -178,7 +178,7 @@
         self.ended.iter().find(|ended| ended.started == started)
     }
 
-    fn is_over(&self, started: Option<StartMillis>) -> bool {
+    fn is_confirmed_ended(&self, started: Option<StartMillis>) -> bool {
         self.ended(started).is_some_and(|ended| ended.by == EndedBy::Answer)
     }
 
@@ -191,7 +191,7 @@
         let is_known = revision <= self.entry_at;
         self.entry_at = self.entry_at.max(revision);
         let Some(present) = self.present else {
-            if self.is_over(incarnation.started) {
+            if self.is_confirmed_ended(incarnation.started) {
                 return EntryUpdate::Late;
             }
             self.begin(incarnation.started, now);
@@ -204,7 +204,7 @@
         if incarnation.started.is_none() {
             return EntryUpdate::NoStart;
         }
-        if is_known || self.is_over(incarnation.started) {
+        if is_known || self.is_confirmed_ended(incarnation.started) {
             return EntryUpdate::Late;
         }
         if self.ended(incarnation.started).is_some() && !self.is_accepted(incarnation.started) {
@@ -231,7 +231,7 @@
         now: Instant,
     ) -> AnswerUpdate {
         let Some(present) = self.present else {
-            if self.is_over(started) {
+            if self.is_confirmed_ended(started) {
                 return AnswerUpdate::Late;
             }
             self.begin(started, now);
@@ -246,7 +246,7 @@
         if started.is_none() {
             return AnswerUpdate::NoStart;
         }
-        if self.is_over(started) || requested_at < present.confirmed_at {
+        if self.is_confirmed_ended(started) || requested_at < present.confirmed_at {
             return AnswerUpdate::Late;
         }
         self.end(present.started, EndedBy::Answer, started);
@@ -286,14 +286,14 @@
         }
         let latest = self.latest(successor);
         self.present = None;
-        if !self.is_over(latest) {
+        if !self.is_confirmed_ended(latest) {
             self.begin(latest, now);
         }
         true
     }
 
     fn on_replaced(&mut self, started: Option<StartMillis>) -> bool {
-        let is_new = !self.is_over(started);
+        let is_new = !self.is_confirmed_ended(started);
         self.end(started, EndedBy::Answer, None);
         if self.present.is_some_and(|present| present.started == started) {
             self.present = None;
@@ -320,7 +320,7 @@
     }
 
     fn end(&mut self, started: Option<StartMillis>, by: EndedBy, successor: Option<StartMillis>) {
-        if self.is_over(started) {
+        if self.is_confirmed_ended(started) {
             return;
         }
         self.ended.retain(|ended| ended.started != started);
--- a/crates/routing/tests/incarnations.rs
+++ b/crates/routing/tests/incarnations.rs
@@ -132,7 +132,7 @@
     assert_eq!(update, AnswerUpdate::Began { ended: incarnation(X) });
     assert!(entries.iter().all(|update| *update == EntryUpdate::Late), "{entries:?}");
     assert_eq!(answer, AnswerUpdate::Late);
-    assert!(incarnations.is_over(&incarnation(X)));
+    assert!(incarnations.is_confirmed_ended(&incarnation(X)));
     assert_eq!(incarnations.present(ID), Some(Some(Y)));
 }
 
@@ -141,14 +141,14 @@
     let at = clock();
     let mut incarnations = incarnations_of(X, &at);
     incarnations.on_entry(&incarnation(Y), rev(116), at(200));
-    assert!(!incarnations.is_over(&incarnation(X)));
+    assert!(!incarnations.is_confirmed_ended(&incarnation(X)));
 
     let update = incarnations.on_answer(ID, Some(Y), at(201), at(202));
     let again = incarnations.on_answer(ID, Some(Y), at(203), at(204));
 
     assert_eq!(update, AnswerUpdate::Present { confirmed_ended: vec![incarnation(X)] });
     assert_eq!(again, AnswerUpdate::Present { confirmed_ended: Vec::new() });
-    assert!(incarnations.is_over(&incarnation(X)));
+    assert!(incarnations.is_confirmed_ended(&incarnation(X)));
     assert_eq!(incarnations.on_entry(&incarnation(X), rev(117), at(300)), EntryUpdate::Late);
 }
 
@@ -331,7 +331,7 @@
         let mut simulation = Simulation::new();
         for event in events {
             simulation.apply(event);
-            if simulation.incarnations.is_over(&incarnation(simulation.present())) {
+            if simulation.incarnations.is_confirmed_ended(&incarnation(simulation.present())) {
                 return false;
             }
         }
@@ -344,7 +344,7 @@
         let mut simulation = Simulation::new();
         for event in events.into_iter().take(40) {
             let over: Vec<StartMillis> = simulation.starts.iter().copied()
-                .filter(|started| simulation.incarnations.is_over(&incarnation(*started))).collect();
+                .filter(|started| simulation.incarnations.is_confirmed_ended(&incarnation(*started))).collect();
             simulation.apply(event);
             let present = simulation.incarnations.present(ID).flatten();
             if present.is_some_and(|present| over.contains(&present)) {
