--- a/crates/routing/src/process/incarnations.rs
+++ b/crates/routing/src/process/incarnations.rs
@@ -13,7 +13,7 @@
 /// endpoint that was added first is evicted first.
 const MAX_ENDPOINTS: usize = 4_096;
 /// Maximum number of ended incarnations remembered per endpoint: updates are late by seconds, and a start takes
-/// some.
+/// some seconds.
 const MAX_ENDED: usize = 8;
 /// Number of entries of one incarnation that must contradict the present one before they are accepted without an
 /// answer: the first may have been written late.
@@ -77,8 +77,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Present {
     started: Option<StartMillis>,
-    /// An answer of another incarnation counts only if it was requested after this: an earlier one may be older
-    /// than this incarnation.
+    /// An answer of another incarnation that was requested before this is ignored: it may be older than this
+    /// incarnation.
     confirmed_at: Instant,
 }
 
@@ -102,8 +102,7 @@
 }
 
 impl Incarnations {
-    /// Returns the start of an endpoint's present incarnation; the outer option is none if nothing is known of
-    /// it.
+    /// Returns the start of an endpoint's present incarnation; the outer option is none if it is unknown.
     pub fn present(&self, id: &str) -> Option<Option<StartMillis>> {
         Some(self.endpoints.get(id)?.present?.started)
     }
--- a/crates/routing/src/process/leaving.rs
+++ b/crates/routing/src/process/leaving.rs
@@ -1,7 +1,7 @@
 //! Decides what a process still accepts after its stop signal, and when callers that it refuses should retry.
 //!
-//! All that it accepts must end before the process exits: an answer that the exit cuts off can't be distinguished from one
-//! whose instance died, and a request that may run only once is lost.
+//! All that it accepts must end before the process exits: an answer that the exit cuts off can't be distinguished
+//! from one whose instance died, and a request that may run only once is lost.
 
 use std::time::{Duration, Instant};
 
@@ -19,8 +19,8 @@
 const STREAM_TIME_FACTOR: f64 = 1.5;
 /// Time that a stream needs to resume elsewhere: a new run brings its first event within half a second.
 const MIN_RESUME_TIME: Duration = Duration::from_millis(500);
-/// Time from the exit of a process until its successor is ready: 0.5 to 1.6 s over nine replacements, median 0.9
-/// s.
+/// Time from the exit of a process until its successor is ready: 0.5 to 1.6 s over nine replacements, median
+/// 0.9 s.
 const SUCCESSOR_START_TIME: Duration = Duration::from_millis(1_500);
 /// Time until a balancer has seen that a process is ready: it checks once a second.
 const READY_DETECTION: Duration = Duration::from_millis(1_000);
@@ -70,8 +70,8 @@
         self.left(now) + SUCCESSOR_START_TIME
     }
 
-    /// Returns after what delay a caller that this process refuses should retry, by when the other processes are
-    /// ready: those of its data centre, and those elsewhere.
+    /// Returns the delay after which a caller that this process refuses should retry. `near` and `elsewhere` hold
+    /// the times until the other processes are ready: those of its data centre, and those of others.
     ///
     /// Balancers send to all processes of a data centre, ready or not, until half of them are ready, and
     /// elsewhere once they have seen that none is.
--- a/crates/routing/src/process/path_health.rs
+++ b/crates/routing/src/process/path_health.rs
@@ -40,9 +40,9 @@
 
     /// Updates whether an engine of the path is suspected to be dead. Only a new suspicion counts: one that an
     /// event has refuted doesn't break the path a second time.
-    pub fn set_suspected(&mut self, is_dead: bool) {
-        let was_dead = std::mem::replace(&mut self.was_suspected, is_dead);
-        if is_dead && !was_dead && self.state == State::Serves {
+    pub fn set_suspected(&mut self, is_suspected: bool) {
+        let was_suspected = std::mem::replace(&mut self.was_suspected, is_suspected);
+        if is_suspected && !was_suspected && self.state == State::Serves {
             self.state = State::Suspected;
         }
     }
--- a/crates/routing/src/process/path_search.rs
+++ b/crates/routing/src/process/path_search.rs
@@ -108,7 +108,7 @@
         Some(self.path(self.runs(last)))
     }
 
-    /// Extends the paths by one layer at each holder that holds it.
+    /// Extends the paths by `layer` at each holder that holds it.
     fn extend(&mut self, layer: usize, head: Option<usize>) {
         let ends = self.cheapest_ends(layer);
         let len = self.holders.len();
--- a/crates/routing/src/process/repair_forecast.rs
+++ b/crates/routing/src/process/repair_forecast.rs
@@ -21,7 +21,7 @@
 /// Returns whether a stream that has been silent for `silent` should wait for the repair of `missing` layers of
 /// its path rather than resume elsewhere at once.
 ///
-/// Guards against overload after the death of one of many engines of a chain at high load: 300 streams at once
+/// Guards against the death of one of many engines of a chain at high load: without waiting, 300 streams at once
 /// resumed in other data centres, where each read its whole prompt again, used an attempt and the retry budget of
 /// all gateways, and two in five were cut off for lack of budget. A few layers are loaded before callers leave.
 /// If another path takes the stream at once, that is faster.
