--- a/crates/gateway/src/process/gateway.rs
+++ b/crates/gateway/src/process/gateway.rs
@@ -170,11 +170,11 @@
 
     /// When a caller that this gateway refuses as it ends should come back, by what the gateways tell
     /// each other.
-    pub(crate) fn come_back(&self, now: Instant) -> Duration {
+    pub(crate) fn retry_delay(&self, now: Instant) -> Duration {
         let Some(leaving) = self.leaving.get() else { return Duration::ZERO };
         let beliefs = self.beliefs.borrow();
         let (near, elsewhere) = beliefs.ready_in(&self.settings.data_centre, now);
-        leaving.come_back(&near, &elsewhere, now.into_std())
+        leaving.retry_delay(&near, &elsewhere, now.into_std())
     }
 
     /// Whether a stream that lost its run may go on over another path before this gateway ends.
@@ -284,7 +284,7 @@
             return;
         }
         self.refresh_paths();
-        broken.iter().for_each(|live| live.break_up());
+        broken.iter().for_each(|live| live.mark_broken());
     }
 
     fn hear_suspicion(&self, report: &ReportedSuspect, instance: &str, now: Instant) {
@@ -322,7 +322,8 @@
     /// Why an endpoint is taken to be dead, and by whom; none while it is not. For log lines.
     pub(crate) fn judgement(&self, incarnation: &Incarnation) -> Option<String> {
         let now = Instant::now();
-        if self.has_ended(incarnation) || self.incarnations.borrow().is_over(incarnation) {
+        if self.has_ended(incarnation) || self.incarnations.borrow().is_confirmed_ended(incarnation)
+        {
             return Some("ended".to_owned());
         }
         let beliefs = self.beliefs.borrow();
@@ -361,7 +362,7 @@
     /// Whether an endpoint has ended or is cut off, as far as the lead can tell, or its incarnation is over
     /// for good.
     pub(crate) fn is_dead(&self, incarnation: &Incarnation) -> bool {
-        if self.incarnations.borrow().is_over(incarnation) {
+        if self.incarnations.borrow().is_confirmed_ended(incarnation) {
             return true;
         }
         let beliefs = self.beliefs.borrow();
@@ -371,7 +372,7 @@
     /// Whether an incarnation is over for good, or its endpoint is no longer known. One that the lead takes to be dead may only have
     /// paused, and still run what it was sent.
     pub(crate) fn is_gone(&self, incarnation: &Incarnation) -> bool {
-        self.incarnations.borrow().is_over(incarnation) || !self.is_listed(incarnation)
+        self.incarnations.borrow().is_confirmed_ended(incarnation) || !self.is_listed(incarnation)
     }
 
     /// Whether an endpoint has ended, or failed just now as if it had.
--- a/crates/gateway/src/process/paths/path_book.rs
+++ b/crates/gateway/src/process/paths/path_book.rs
@@ -144,11 +144,11 @@
         now: Instant,
     ) -> bool {
         self.rooms
-            .extend(holders.iter().map(|holder| (holder.incarnation.clone(), holder.kv_room)));
+            .extend(holders.iter().map(|holder| (holder.incarnation.clone(), holder.kv_capacity)));
         let old = self.paths.remove(service).unwrap_or_default();
         for live in &old {
             let has = |wanted| live.path.parts.iter().any(|part| fate(&part.incarnation) == wanted);
-            live.judge(has(EngineFate::Dead), now);
+            live.set_suspected(has(EngineFate::Dead), now);
             live.set_leaving(has(EngineFate::Leaves), leaving_serves_for, now);
         }
         let mut is_changed = false;
@@ -309,7 +309,7 @@
                 "{} {state} {:.0}% of {:.0} tokens, {}/{} streams",
                 live.path.data_centre,
                 self.fill(live, &used, 0.0) * 100.0,
-                live.path.token_room,
+                live.path.token_capacity,
                 self.head_streams(service, &live.path.first().incarnation),
                 live.slots
             )
--- a/crates/gateway/src/process/paths/path_refresh.rs
+++ b/crates/gateway/src/process/paths/path_refresh.rs
@@ -51,7 +51,7 @@
                     info!("path in use", kv: {
                         service = service.name.as_str(),
                         data_centre = live.path.data_centre.as_str(),
-                        room = live.path.token_room.round(), step_ms = live.path.step_ms,
+                        room = live.path.token_capacity.round(), step_ms = live.path.step_ms,
                         path = text.as_str()
                     });
                 }
@@ -97,7 +97,7 @@
                 data_centre: endpoint.data_centre.clone(),
                 layers,
                 layer_cost: step_factor * shape.step_ms / f64::from(shape.layers),
-                kv_room: card.map_or(0.0, |card| shape.kv_room(card, layers.len())),
+                kv_capacity: card.map_or(0.0, |card| shape.kv_capacity(card, layers.len())),
             });
         }
         holders
--- a/crates/gateway/src/request/final_answer.rs
+++ b/crates/gateway/src/request/final_answer.rs
@@ -7,7 +7,7 @@
 use http::{HeaderValue, Response, StatusCode, header};
 use sorrellock_http::AnswerBody;
 use sorrellock_platform::{answer_headers, retry_after};
-use sorrellock_routing::request::GivenUp;
+use sorrellock_routing::request::AbandonedOutcome;
 use std::time::Duration;
 
 /// An endpoint's answer that came whole, for the caller.
@@ -19,13 +19,13 @@
 }
 
 /// An answer of the gateway's own.
-pub(crate) fn refusal(status: StatusCode, come_back: Option<Duration>) -> Response<AnswerBody> {
+pub(crate) fn refusal(status: StatusCode, retry_delay: Option<Duration>) -> Response<AnswerBody> {
     let text = status.canonical_reason().unwrap_or("refused");
     let mut answer = Response::new(AnswerBody::whole(Bytes::from_static(text.as_bytes())));
     *answer.status_mut() = status;
     let headers = answer.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-    if let Some(wait) = come_back {
+    if let Some(wait) = retry_delay {
         headers.insert(header::RETRY_AFTER, retry_after(wait));
     }
     answer
@@ -34,15 +34,17 @@
 /// The final answer of a request that was given up.
 pub(crate) fn give_up(
     call: &Call,
-    given_up: GivenUp,
-    come_back: Duration,
+    abandoned_outcome: AbandonedOutcome,
+    retry_delay: Duration,
     why: &str,
 ) -> Response<AnswerBody> {
-    let (count, outcome, status) = match given_up {
-        GivenUp::NotRun => (Count::NotRun, "not run", StatusCode::SERVICE_UNAVAILABLE),
-        GivenUp::Unknown => (Count::Unknown, "may have run", StatusCode::BAD_GATEWAY),
-        GivenUp::TimedOut => (Count::TimedOut, "may have run", StatusCode::GATEWAY_TIMEOUT),
+    let (count, outcome, status) = match abandoned_outcome {
+        AbandonedOutcome::NotRun => (Count::NotRun, "not run", StatusCode::SERVICE_UNAVAILABLE),
+        AbandonedOutcome::Unknown => (Count::Unknown, "may have run", StatusCode::BAD_GATEWAY),
+        AbandonedOutcome::TimedOut => {
+            (Count::TimedOut, "may have run", StatusCode::GATEWAY_TIMEOUT)
+        }
     };
     call.end.tell(count, outcome, status.as_u16(), why);
-    refusal(status, (given_up == GivenUp::NotRun).then_some(come_back))
+    refusal(status, (abandoned_outcome == AbandonedOutcome::NotRun).then_some(retry_delay))
 }
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -8,7 +8,7 @@
 use http::Response;
 use sorrellock_http::{AnswerBody, Cut};
 use sorrellock_platform::answer_headers;
-use sorrellock_routing::request::{Attempts, GivenUp};
+use sorrellock_routing::request::{AbandonedOutcome, Attempts};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -35,7 +35,9 @@
     let mut avoid = Vec::new();
     let until = Instant::now() + ROOM_PATIENCE;
     let mut began = begin(&gateway, &call, &mut attempts, last, &mut avoid, until).await;
-    if matches!(began, Err(NotBegun::NoPlace(_))) && attempts.given_up(false) != GivenUp::NotRun {
+    if matches!(began, Err(NotBegun::NoPlace(_)))
+        && attempts.abandoned_outcome(false) != AbandonedOutcome::NotRun
+    {
         // It can't be refused as not run any more: a place that frees serves its caller better than no answer.
         avoid.retain(|live| live.is_broken());
         let until = (call.arrived + FIRST_EVENT_WAIT).min(call.deadline);
@@ -58,7 +60,7 @@
     attempts: &Attempts,
     not_begun: &NotBegun,
 ) -> Response<AnswerBody> {
-    let (why, come_back) = match not_begun {
+    let (why, retry_delay) = match not_begun {
         NotBegun::NoPlace(NoPlace::Full) => ("all paths are full", RETRY_AFTER_FULL),
         NotBegun::NoPlace(NoPlace::NoPath) => ("no engines hold all layers", RETRY_AFTER_NO_PATH),
         NotBegun::Spent => ("attempts or their budget are spent", RETRY_AFTER_FULL),
@@ -68,7 +70,7 @@
     };
     let is_over = matches!(not_begun, NotBegun::TimeOver);
     let paths = gateway.paths.borrow().describe(&call.service, Instant::now());
-    give_up(call, attempts.given_up(is_over), come_back, &format!("{why}: {paths}"))
+    give_up(call, attempts.abandoned_outcome(is_over), retry_delay, &format!("{why}: {paths}"))
 }
 
 fn start_relay(
