--- a/crates/routing/src/process/knowledge/dropped_services.rs
+++ b/crates/routing/src/process/knowledge/dropped_services.rs
@@ -1,19 +1,20 @@
-//! Services that the configuration in force does not name any more, while requests that older ones admitted may be under way.
+//! Services that the current configuration no longer names, but for which requests admitted under an
+//! earlier one may still be in progress.
 
 use crate::version::{Configuration, Service, ServiceName};
 use std::collections::{HashMap, HashSet};
 use std::time::Instant;
 
-/// The services that were dropped, each until its last request is over.
+/// Holds each dropped service until its last request has ended.
 #[derive(Default)]
 pub(super) struct DroppedServices {
-    /// By when the requests are over that past configurations admitted.
+    /// When the last request admitted under an earlier configuration has ended, by service.
     admitted_until: HashMap<ServiceName, Instant>,
     dropped: Vec<Service>,
 }
 
 impl DroppedServices {
-    /// A configuration takes the place of another one.
+    /// Records the services that are dropped as one configuration replaces another.
     pub(super) fn on_change(
         &mut self,
         before: &Configuration,
@@ -36,7 +37,7 @@
         });
     }
 
-    /// The services of which requests may be under way.
+    /// Returns the dropped services that may still have requests in progress.
     pub(super) fn current(&self, now: Instant) -> impl Iterator<Item = &Service> {
         let may_run = move |service: &&Service| {
             self.admitted_until.get(&service.name).is_some_and(|until| *until > now)
--- a/crates/routing/src/process/knowledge/era.rs
+++ b/crates/routing/src/process/knowledge/era.rs
@@ -1,19 +1,22 @@
-//! What holds on where the store comes back from an older copy of itself.
+//! What stays valid when the store is restored from an older copy of itself.
 
 use super::knowledge::Knowledge;
 use super::{EntryState, KnownEndpoint};
 use crate::process::{Endpoint, EndpointId, Incarnation, Revision, StoreEra};
 use std::time::{Duration, Instant};
 
-/// Endpoints that were removed so long ago, or longer, are in no copy that the store may come back from.
-const REMOVED_IN_COPY: Duration = Duration::from_secs(60);
+/// Maximum age of a copy that the store may be restored from: endpoints removed earlier are in none.
+const MAX_COPY_AGE: Duration = Duration::from_secs(60);
 
 impl Knowledge {
-    /// The store is heard of in the era of `at` for the first time, and comes with its copy up to there; nothing changes if that is known.
-    /// What has left before stays so, though the copy may have it ready, until it tells otherwise by itself.
+    /// Enters the era of `at`, in which the store was restored from a copy that reaches up to `at` at most.
+    /// Only lowers the floor if that is the current era; does nothing if it is an older one.
+    ///
+    /// Endpoints that were leaving or removed stay marked as leaving, even if the copy lists them as
+    /// ready, until they report their state themselves.
     pub fn begin_era(&mut self, at: Revision, now: Instant) {
         if at.era == self.era {
-            // All that was written after either of two lists was written in the era.
+            // Anything written after either of two lists was written in the era, so the lower floor holds.
             self.era_floor = self.era_floor.min(at.count);
         }
         if at.era <= self.era {
@@ -24,32 +27,32 @@
         let leaving = self.endpoints().filter(|endpoint| endpoint.is_leaving);
         let leaving: Vec<Incarnation> = leaving.map(Endpoint::incarnation).collect();
         let removed = std::mem::take(&mut self.removed).into_values();
-        let removed = removed.filter(|removed| now - removed.at < REMOVED_IN_COPY);
+        let removed = removed.filter(|removed| now - removed.at < MAX_COPY_AGE);
         let left = leaving.into_iter().chain(removed.map(|removed| removed.incarnation));
         self.left.begin_era();
         left.for_each(|incarnation| self.left.insert(incarnation, now));
     }
 
-    /// Whether the store wrote `revision` in the era in which the endpoints are known, rather than with the copy that the era
-    /// began with.
-    fn is_of_era(&self, revision: Revision) -> bool {
+    /// Returns whether `revision` was written in the current era, not taken over from the copy that the
+    /// era began with.
+    fn is_written_in_era(&self, revision: Revision) -> bool {
         revision.era == self.era && revision.count > self.era_floor
     }
 
-    /// The endpoint as its entry is to be taken: one that had left before this era stays so, unless the entry was written in
-    /// it.
-    pub(super) fn bind(&mut self, endpoint: Endpoint, revision: Revision) -> Endpoint {
-        if !self.left.holds(&endpoint) {
+    /// Marks an endpoint that left before this era as leaving, unless its entry was written in this era.
+    pub(super) fn mark_if_left(&mut self, endpoint: Endpoint, revision: Revision) -> Endpoint {
+        if !self.left.contains(&endpoint) {
             return endpoint;
         }
-        if endpoint.is_leaving || self.is_of_era(revision) {
+        if endpoint.is_leaving || self.is_written_in_era(revision) {
             self.left.remove(&endpoint.id);
             return endpoint;
         }
         Endpoint { is_leaving: true, ..endpoint }
     }
 
-    /// The endpoints that had left before this era, are listed as ready, and are to be asked now whether they are well.
+    /// Returns the endpoints that left before this era, are listed as ready, and are due for a health
+    /// check.
     pub fn left_to_ask(&mut self, now: Instant) -> Vec<EndpointId> {
         let endpoints = &self.endpoints;
         let is_listed =
@@ -57,21 +60,23 @@
         self.left.due(is_listed, now)
     }
 
-    /// An endpoint that had left before this era tells that it is well. Whether that is news.
+    /// Marks an endpoint that left before this era as ready after it reported that it is healthy. Returns
+    /// whether that is new.
     pub fn note_well(&mut self, incarnation: &Incarnation) -> bool {
         let known = self.endpoints.get_mut(&incarnation.id);
-        let Some(known) = known.filter(|known| self.left.holds(&known.endpoint)) else {
+        let Some(known) = known.filter(|known| self.left.contains(&known.endpoint)) else {
             return false;
         };
         if known.endpoint.started != incarnation.started {
             return false;
         }
         known.endpoint.is_leaving = false;
-        self.left.note_returned(incarnation);
+        self.left.mark_returned(incarnation);
         true
     }
 
-    /// The endpoints that had left before this era, to be reported to other processes while their copied entries may be used.
+    /// Returns the endpoints that left before this era, to be reported to other processes as long as their
+    /// copied entries may be used.
     pub fn left_before_era(&self, now: Instant) -> Vec<Incarnation> {
         self.left.to_report(|id| self.is_listed(id), now)
     }
@@ -80,8 +85,9 @@
         self.endpoints.get(id).is_some_and(|known| known.entry == EntryState::Listed)
     }
 
-    /// Another process, which knows the endpoints in `era`, knew these to have left before it. Endpoints that wrote an entry in this era,
-    /// or said in it that they are well, are skipped. Returns those that are taken to be leaving from now on.
+    /// Marks endpoints as leaving that, as reported by another process in `era`, left before it. Skips
+    /// endpoints that wrote an entry or reported that they are healthy in this era. Returns those that are
+    /// newly marked.
     pub fn receive_left(
         &mut self,
         left: &[Incarnation],
@@ -93,7 +99,7 @@
         }
         let mut newly_leaving = Vec::new();
         for incarnation in left {
-            if self.left.has_returned(incarnation) || self.knows_better(incarnation) {
+            if self.left.has_returned(incarnation) || self.has_newer_state(incarnation) {
                 continue;
             }
             self.left.insert(incarnation.clone(), now);
@@ -105,22 +111,24 @@
         newly_leaving
     }
 
-    /// Whether an endpoint is known to leave, is in another incarnation, or wrote its entry in this era.
-    fn knows_better(&self, incarnation: &Incarnation) -> bool {
+    /// Returns whether an endpoint is already leaving, is in another incarnation, or wrote its entry in
+    /// this era.
+    fn has_newer_state(&self, incarnation: &Incarnation) -> bool {
         self.endpoints.get(&incarnation.id).is_some_and(
             |KnownEndpoint { endpoint, revision, .. }| {
                 endpoint.is_leaving
                     || endpoint.started != incarnation.started
-                    || self.is_of_era(*revision)
+                    || self.is_written_in_era(*revision)
             },
         )
     }
 
-    /// An endpoint as its entry describes it, also where it is taken to be leaving because it had left before this era: the other process
-    /// decides that in [`Knowledge::receive_left`], as it may know that the entry was written in this era.
+    /// Returns an endpoint as its entry describes it, without the mark that it left before this era. The
+    /// receiver of a handover sets that mark in [`Knowledge::receive_left`], as it may know that the entry
+    /// was written in this era.
     pub(super) fn as_listed(&self, known: &KnownEndpoint) -> KnownEndpoint {
         let mut listed = known.clone();
-        if self.left.holds(&listed.endpoint) {
+        if self.left.contains(&listed.endpoint) {
             listed.endpoint.is_leaving = false;
         }
         listed
--- a/crates/routing/src/process/knowledge/handover.rs
+++ b/crates/routing/src/process/knowledge/handover.rs
@@ -1,4 +1,4 @@
-//! What one gateway tells another of the configuration and the endpoints on request.
+//! The configuration and endpoints that one gateway sends another on request.
 
 use super::{EntryState, Knowledge, KnownEndpoint, RefusedEntry};
 use crate::process::{ChangeCount, EndpointId, Incarnation, Revision};
@@ -6,47 +6,48 @@
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 
-/// What one gateway hands to another that can't reach the store.
+/// What a gateway sends to another one that can't reach the store.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Handover {
-    /// The configuration, if it is newer than the other's.
+    /// The configuration, if it is newer than the receiver's.
     pub configuration: Option<Configuration>,
-    /// Those that changed since the revision up to which the other knows them.
+    /// The endpoints that changed after the revision that the receiver has read up to.
     pub endpoints: Vec<KnownEndpoint>,
-    /// All that the list holds.
+    /// Ids of all known endpoints.
     pub listed: Vec<EndpointId>,
-    /// Those of them whose entry is missing, and for how long.
+    /// The endpoints whose entry is missing, and for how long.
     pub missing: Vec<(EndpointId, Duration)>,
-    /// Entries that can't be used, of those that changed.
+    /// The changed entries that can't be used.
     #[serde(default)]
     pub refused: Vec<RefusalTold>,
-    /// The store's revision up to which the endpoints are known.
+    /// The store revision up to which the endpoints are known.
     pub endpoints_at: Revision,
-    /// What the store wrote in this era up to here may be the copy's that the era began with.
+    /// Changes up to this count may stem from the copy that the era began with.
     pub era_floor: ChangeCount,
-    /// Endpoints that had left before this era.
+    /// The endpoints that left before this era.
     pub left: Vec<Incarnation>,
 }
 
-/// An entry that can't be used, as one gateway hands it to another.
+/// An entry that can't be used, as one gateway reports it to another.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RefusalTold {
-    /// Whose entry it is.
+    /// The endpoint that the entry belongs to.
     pub id: EndpointId,
-    /// The entry, and what is wrong with it.
+    /// The entry and its fault.
     pub entry: RefusedEntry,
-    /// For how long it has been so, where its endpoint is known.
+    /// How long the entry has been unusable; zero if the endpoint is not known.
     pub lasts: Duration,
 }
 
 impl Knowledge {
-    /// Whether the entry of `revision`, or a newer one, is known to be missing: another gateway that
-    /// still has it has not read that far.
+    /// Returns whether the entry of `revision`, or a newer one, is known to be missing. A gateway that
+    /// still has the entry has read the store less far.
     pub fn is_missing_at(&self, id: &str, revision: Revision) -> bool {
         self.is_missing(id) && self.endpoints[id].revision >= revision
     }
 
-    /// Another gateway has missed an entry for `missing_for`, if that is longer than this one has.
+    /// Takes over from another gateway that an entry has been missing for `missing_for`, if that is longer
+    /// than known here. Returns whether the entry was listed until now.
     pub fn hear_missing(&mut self, id: &str, missing_for: Duration, now: Instant) -> bool {
         let Some(known) = self.endpoints.get_mut(id) else { return false };
         let since = now.checked_sub(missing_for).unwrap_or(now);
@@ -63,8 +64,8 @@
         }
     }
 
-    /// Entries that can't be used, of those that changed after a revision. One of a known endpoint is
-    /// told also when it is gone from the list: what it left behind is not to be used either.
+    /// Returns the unusable entries that changed after a revision. That of a known endpoint is included
+    /// even if it is gone from the list, as the receiver must not use the endpoint's earlier entry either.
     fn refused_after(&self, known_at: Revision, now: Instant) -> Vec<RefusalTold> {
         let of_known = self.endpoints.iter().filter_map(|(id, known)| {
             let EntryState::UnusableSince(since, fault) = &known.entry else { return None };
@@ -78,10 +79,10 @@
             entry: entry.clone(),
             lasts: Duration::ZERO,
         });
-        of_known.chain(others).filter(|told| told.entry.revision > known_at).collect()
+        of_known.chain(others).filter(|refusal| refusal.entry.revision > known_at).collect()
     }
 
-    /// What another gateway is handed that has configuration `known` and knows the endpoints up to
+    /// Returns what to send to a gateway that has configuration `known` and has read the endpoints up to
     /// revision `known_at`.
     pub fn handover(&self, known: ConfigVersion, known_at: Revision, now: Instant) -> Handover {
         let usable = self.endpoints.values().filter(|known| !known.entry.is_unusable());
--- a/crates/routing/src/process/knowledge/knowledge.rs
+++ b/crates/routing/src/process/knowledge/knowledge.rs
@@ -1,4 +1,5 @@
-//! What a gateway knows of the configuration and of the endpoints. It only ever gets newer.
+//! What a gateway knows about the configuration and the endpoints. It never goes back to an older
+//! state.
 
 use super::dropped_services::DroppedServices;
 use super::left_endpoints::LeftEndpoints;
@@ -12,52 +13,53 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// For how long an endpoint whose entry is missing, after an outage of the store or as the endpoint
-/// doesn't reach it, still gets work, at most: entries that lapsed in an outage are back within two
-/// seconds.
-const MISSING_GETS_WORK_MOST: Duration = Duration::from_secs(2);
-/// The way of a request goes off the time within which a leaving endpoint may get its last one.
-const LEAVE_MARGIN: Duration = Duration::from_millis(200);
-/// The most removed endpoints that are remembered, so that an older page, or a store that comes back from an older copy, doesn't bring
-/// them back.
+/// How long an endpoint whose entry is missing, because of a store outage or because the endpoint can't
+/// reach the store, gets new work at most: entries that expired in an outage are written again within
+/// two seconds.
+const MAX_WORK_WHILE_MISSING: Duration = Duration::from_secs(2);
+/// Transit time of a request, subtracted from the time within which a leaving endpoint may get its last
+/// one.
+const TRANSIT_MARGIN: Duration = Duration::from_millis(200);
+/// Maximum number of removed endpoints that are kept, so that neither an older page nor a store restored
+/// from an older copy adds them again.
 const MAX_REMOVED: usize = 4_096;
 
-/// What a refused entry means.
+/// The effect of a refused entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// A newer entry is known.
+    /// A newer entry is known; nothing changes.
     Outdated,
-    /// No endpoint is known by it.
+    /// The endpoint is not known.
     OfUnknown,
-    /// A known endpoint has had no usable entry before.
+    /// The known endpoint's entry was already unusable.
     Again,
-    /// A known endpoint had a usable entry before.
+    /// The known endpoint's entry was not unusable before.
     OfKnown,
 }
 
-/// What changed of an endpoint.
+/// What an entry changed about an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointNews {
-    /// It is new.
+    /// The endpoint is new.
     Joined,
-    /// Its entry says that it leaves.
+    /// The endpoint is now leaving.
     Leaving,
-    /// Its entry was missing or couldn't be used, and is whole again.
+    /// The entry was missing or unusable, and is usable again.
     Back,
-    /// Its entry changed otherwise.
+    /// The entry changed in another way.
     Changed,
-    /// Nothing that is newer.
+    /// The entry is outdated or unchanged.
     Nothing,
 }
 
-/// An endpoint that was removed.
+/// A removed endpoint and the time of its removal.
 #[derive(Clone, Debug)]
 pub(super) struct Removed {
     pub(super) incarnation: Incarnation,
     pub(super) at: Instant,
 }
 
-/// The configuration in force and the endpoints.
+/// The current configuration and the known endpoints.
 pub struct Knowledge {
     pub(super) routes: Option<Rc<RouteTable>>,
     dropped: DroppedServices,
@@ -65,19 +67,19 @@
     pub(super) removed: HashMap<EndpointId, Removed>,
     pub(super) left: LeftEndpoints,
     pub(super) refused: RefusedEntries,
-    /// Most endpoints tell their start: an entry without one is refused.
+    /// Whether entries without a start are refused, as most entries contain one.
     pub(super) is_start_required: bool,
     pub(super) endpoints_at: Revision,
-    /// The era of the store in which the endpoints are known.
+    /// The store era that the known endpoints were read in.
     pub(super) era: StoreEra,
-    /// What the store wrote in this era up to here may be the copy's; what has a higher count was written in the era.
+    /// Changes up to this count may stem from the copy that the era began with; later ones were written in
+    /// the era.
     pub(super) era_floor: ChangeCount,
-    missing_gets_work: Duration,
+    work_while_missing: Duration,
 }
 
 impl Knowledge {
-    /// Nothing is known yet. An endpoint that leaves may get its last request within
-    /// `leave_within`.
+    /// Creates empty knowledge. A leaving endpoint may get its last request within `leave_within`.
     pub fn new(leave_within: Duration) -> Knowledge {
         Knowledge {
             routes: None,
@@ -90,97 +92,98 @@
             endpoints_at: Revision::default(),
             era: 0,
             era_floor: 0,
-            missing_gets_work: missing_gets_work(leave_within),
+            work_while_missing: work_while_missing(leave_within),
         }
     }
 
-    /// An endpoint that leaves may get its last request within `leave_within` from here on.
+    /// Sets the time within which a leaving endpoint may get its last request.
     pub fn set_leave_within(&mut self, leave_within: Duration) {
-        self.missing_gets_work = missing_gets_work(leave_within);
+        self.work_while_missing = work_while_missing(leave_within);
     }
 
-    /// The configuration in force.
+    /// Returns the current configuration.
     pub fn routes(&self) -> Option<&Rc<RouteTable>> {
         self.routes.as_ref()
     }
 
-    /// Number of the configuration in force, 0 for none.
+    /// Returns the version of the current configuration, 0 for none.
     pub fn config_version(&self) -> ConfigVersion {
         self.routes.as_ref().map_or(0, |routes| routes.version())
     }
 
-    /// The store's revision up to which the endpoints are known; the default one before the first list.
+    /// Returns the store revision up to which the endpoints are known; the default before the first list.
     pub fn endpoints_at(&self) -> Revision {
         self.endpoints_at
     }
 
-    /// How much is known.
+    /// Returns the versions of the configuration and of the endpoints.
     pub fn known(&self) -> Known {
         Known { config: self.config_version(), endpoints_at: self.endpoints_at }
     }
 
-    /// The endpoints that their list holds, those that leave included.
+    /// Returns the known endpoints, including leaving ones.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.values().map(|known| &known.endpoint)
     }
 
-    /// The endpoints that are known, with what became of their entries.
+    /// Returns the known endpoints with the state of their entries.
     pub fn known_endpoints(&self) -> impl Iterator<Item = &KnownEndpoint> {
         self.endpoints.values()
     }
 
-    /// The endpoints whose entry was whole when it was read last.
+    /// Returns the endpoints whose entry is not marked as unusable.
     pub fn usable_endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         let usable = self.endpoints.values().filter(|known| !known.entry.is_unusable());
         usable.map(|known| &known.endpoint)
     }
 
-    /// The entries that can't be used.
+    /// Returns the entries that can't be used.
     pub fn refused(&self) -> &RefusedEntries {
         &self.refused
     }
 
-    /// The endpoints that may get new work, as far as their list tells.
+    /// Returns the endpoints that may get new work according to their entries.
     pub fn open_endpoints(&self, now: Instant) -> impl Iterator<Item = &Endpoint> {
-        let is_here = move |known: &&KnownEndpoint| match known.entry {
+        let may_get_work = move |known: &&KnownEndpoint| match known.entry {
             EntryState::Listed => true,
-            EntryState::MissingSince(since) => now - since < self.missing_gets_work,
+            EntryState::MissingSince(since) => now - since < self.work_while_missing,
             EntryState::UnusableSince(..) => false,
         };
-        let open = self.endpoints.values().filter(is_here).map(|known| &known.endpoint);
+        let open = self.endpoints.values().filter(may_get_work).map(|known| &known.endpoint);
         open.filter(|endpoint| !endpoint.is_leaving)
     }
 
-    /// Whether the list tells of an endpoint in this incarnation.
+    /// Returns whether an endpoint is known in this incarnation.
     pub fn is_current(&self, incarnation: &Incarnation) -> bool {
         self.endpoint(&incarnation.id)
             .is_some_and(|endpoint| endpoint.started == incarnation.started)
     }
 
-    /// Whether the list tells of an endpoint in this incarnation at an address.
+    /// Returns whether an endpoint is known in this incarnation and at this address.
     pub fn is_known_at(&self, incarnation: &Incarnation, addr: SocketAddr) -> bool {
         self.is_current(incarnation)
             && self.endpoint(&incarnation.id).is_some_and(|one| one.addr == addr)
     }
 
-    /// One endpoint.
+    /// Returns the endpoint with this id.
     pub fn endpoint(&self, id: &str) -> Option<&Endpoint> {
         self.endpoints.get(id).map(|known| &known.endpoint)
     }
 
-    /// The services that the configuration in force names, and those that it dropped while requests of theirs may be under way.
+    /// Returns the services of the current configuration, and dropped ones that may still have requests in
+    /// progress.
     pub fn services(&self, now: Instant) -> impl Iterator<Item = &Service> {
         let named = self.routes.iter().flat_map(|routes| &routes.cfg().services);
         named.chain(self.dropped.current(now))
     }
 
-    /// The path that an endpoint's health is asked for at; nothing without a service of its name.
+    /// Returns the path of an endpoint's health check, if its service is known.
     pub fn health_path(&self, endpoint: &Endpoint, now: Instant) -> Option<&str> {
         let service = self.services(now).find(|service| service.name == endpoint.service)?;
         Some(&service.health_path)
     }
 
-    /// Puts a configuration in force if it is newer.
+    /// Applies a configuration if it is newer. Returns whether it is.
     pub fn apply_configuration(&mut self, cfg: Configuration, now: Instant) -> bool {
         if cfg.version <= self.config_version() {
             return false;
@@ -192,14 +195,14 @@
         true
     }
 
-    /// Whether an entry of `revision` is newer than what is known of the endpoint.
+    /// Returns whether an entry of `revision` is not older than what is known about the endpoint.
     pub fn is_news(&self, id: &str, revision: Revision) -> bool {
         if self.refused.get(id).is_some_and(|refused| refused.revision > revision) {
             return false;
         }
         match self.endpoints.get(id) {
             Some(known) => known.revision <= revision,
-            // A lapsed entry that came back is written anew.
+            // An expired entry that is written again has a new revision.
             None => {
                 revision.era >= self.era
                     && (!self.removed.contains_key(id) || revision > self.endpoints_at)
@@ -207,7 +210,8 @@
         }
     }
 
-    /// An endpoint itself told that it started again: its entry still tells of the incarnation before.
+    /// Records that an endpoint reported a restart while its entry still describes the previous
+    /// incarnation.
     pub fn begin_incarnation(&mut self, incarnation: &Incarnation) {
         if let Some(known) = self.endpoints.get_mut(&incarnation.id) {
             known.endpoint.started = incarnation.started;
@@ -215,12 +219,12 @@
         }
     }
 
-    /// Takes an entry that was written at `revision`.
+    /// Applies an entry that was written at `revision`.
     pub fn apply_endpoint(&mut self, endpoint: Endpoint, revision: Revision) -> EndpointNews {
         if !self.is_news(&endpoint.id, revision) {
             return EndpointNews::Nothing;
         }
-        let endpoint = self.bind(endpoint, revision);
+        let endpoint = self.mark_if_left(endpoint, revision);
         self.removed.remove(&endpoint.id);
         let before = self.endpoints.get(&endpoint.id);
         let news = match before {
@@ -241,23 +245,23 @@
         news
     }
 
-    /// An entry is gone for good.
+    /// Removes an endpoint whose entry is gone for good. Returns whether it was known.
     pub fn remove_endpoint(&mut self, id: &str, now: Instant) -> bool {
         self.refused.remove(id);
         self.forget_endpoint(id, now)
     }
 
-    /// Takes an entry that names no endpoint to use, which has been so since `since`. A known endpoint
-    /// stays for a while, and gets nothing new.
+    /// Records an entry that has been unusable since `since`. A known endpoint is kept for a while, but gets
+    /// no new work.
     pub fn refuse_endpoint(&mut self, id: &str, entry: RefusedEntry, since: Instant) -> Refusal {
         let (revision, fault) = (entry.revision, entry.fault.clone());
-        let told_start = entry.told_start || self.told_start(id);
+        let had_start = entry.had_start || self.had_start(id);
         let known = self.endpoints.get_mut(id);
         let is_older = known.as_ref().is_some_and(|known| known.revision > revision);
         if is_older || self.refused.get(id).is_some_and(|before| before.revision > revision) {
             return Refusal::Outdated;
         }
-        self.refused.insert(id, RefusedEntry { told_start, ..entry });
+        self.refused.insert(id, RefusedEntry { had_start, ..entry });
         let Some(known) = known else { return Refusal::OfUnknown };
         known.revision = revision;
         let was_unusable = known.entry.is_unusable();
@@ -266,22 +270,22 @@
         if was_unusable { Refusal::Again } else { Refusal::OfKnown }
     }
 
-    /// Whether a known endpoint's entry can't be used.
+    /// Returns whether a known endpoint's entry is unusable.
     pub fn is_unusable(&self, id: &str) -> bool {
         self.endpoints.get(id).is_some_and(|known| known.entry.is_unusable())
     }
 
-    /// An entry that couldn't be used is gone. What is known of its endpoint goes in its time.
+    /// Removes an unusable entry that is gone from the store. Its endpoint, if known, expires later.
     pub fn forget_refused(&mut self, id: &str) {
         self.refused.remove(id);
     }
 
-    /// Takes the revision that changes were read up to.
+    /// Records that changes were read up to a revision.
     pub fn advance(&mut self, at: Revision) {
         self.endpoints_at = self.endpoints_at.max(at);
     }
 
-    /// Forgets an endpoint, but for its removal. Whether it was known.
+    /// Drops an endpoint and records its removal. Returns whether it was known.
     pub(super) fn forget_endpoint(&mut self, id: &str, now: Instant) -> bool {
         let known = self.endpoints.remove(id);
         let incarnation = known.as_ref().map(|known| known.endpoint.incarnation());
@@ -293,7 +297,7 @@
     }
 }
 
-/// How long an endpoint that its list no longer holds gets work.
-fn missing_gets_work(leave_within: Duration) -> Duration {
-    leave_within.min(MISSING_GETS_WORK_MOST).saturating_sub(LEAVE_MARGIN)
+/// Returns how long an endpoint whose entry is missing gets new work.
+fn work_while_missing(leave_within: Duration) -> Duration {
+    leave_within.min(MAX_WORK_WHILE_MISSING).saturating_sub(TRANSIT_MARGIN)
 }
--- a/crates/routing/src/process/knowledge/known_endpoint.rs
+++ b/crates/routing/src/process/knowledge/known_endpoint.rs
@@ -1,23 +1,24 @@
-//! An endpoint that a gateway knows, and what became of its entry.
+//! An endpoint known to a gateway, and the state of its entry.
 
 use crate::process::{Endpoint, EntryFault, Revision};
 use serde::{Deserialize, Serialize};
 use std::time::Instant;
 
-/// What became of a known endpoint's entry.
+/// State of a known endpoint's entry in the store.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum EntryState {
-    /// It is in the list, and whole.
+    /// The entry is listed and usable.
     #[default]
     Listed,
-    /// It is missing, and may come back.
+    /// The entry is missing, and may be written again.
     MissingSince(Instant),
-    /// It names no endpoint to use, and may be whole again.
+    /// The entry can't be used, and may be corrected.
     UnusableSince(Instant, EntryFault),
 }
 
 impl EntryState {
-    /// Since when the endpoint stays only for a while.
+    /// Returns since when the entry has been missing or unusable, so that the endpoint is kept only for a
+    /// while.
     pub(super) fn since(&self) -> Option<Instant> {
         match self {
             EntryState::Listed => None,
@@ -30,20 +31,20 @@
     }
 }
 
-/// An endpoint with the revision of its entry.
+/// An endpoint, with the revision and state of its entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KnownEndpoint {
-    /// What its entry tells, or told when it was whole last.
+    /// The endpoint as its last usable entry describes it.
     pub endpoint: Endpoint,
     /// Revision of the entry.
     pub revision: Revision,
-    /// What became of the entry.
+    /// State of the entry.
     #[serde(skip)]
     pub entry: EntryState,
 }
 
 impl KnownEndpoint {
-    /// Its entry is missing. One that couldn't be used before is no more usable for that.
+    /// Marks the entry as missing. An entry that is unusable stays so.
     pub(super) fn note_missing(&mut self, now: Instant) {
         if self.entry == EntryState::Listed {
             self.entry = EntryState::MissingSince(now);
--- a/crates/routing/src/process/knowledge/left_endpoints.rs
+++ b/crates/routing/src/process/knowledge/left_endpoints.rs
@@ -1,105 +1,110 @@
-//! Endpoints whose leave or end was known when the store came back from an older copy, which may have them ready.
+//! Endpoints that were known to have left when the store was restored from an older copy, which may
+//! still list them as ready.
 
 use crate::process::{Endpoint, EndpointId, Incarnation, StartMillis};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// After so long, and again and again, an endpoint that had left and is still listed as ready is asked: the entry of one that has
-/// ended is gone by then, and one that leaves has said so again.
-const ASK_EVERY: Duration = Duration::from_millis(3_500);
-/// For how long a leave is remembered whose endpoint isn't listed: far longer than a copy is old.
-const REMEMBERED_FOR: Duration = Duration::from_secs(60);
-/// The most that are remembered.
+/// Interval between health checks of an endpoint that left and is still listed as ready, and delay of
+/// the first one: by then the entry of an ended endpoint is gone, and a leaving one has written that
+/// again.
+const PROBE_INTERVAL: Duration = Duration::from_millis(3_500);
+/// How long an endpoint that isn't listed is kept: far longer than the age of a copy.
+const RETENTION: Duration = Duration::from_secs(60);
+/// Maximum number of endpoints kept.
 const MAX_LEFT: usize = 4_096;
-/// For how long a leave is reported whose endpoint isn't listed: longer than its copied entry is valid for.
-const REPORTED_FOR: Duration = Duration::from_secs(5);
-/// The most that are reported at once: more than leave in the seconds that a copy is old.
+/// How long an endpoint that isn't listed is reported: longer than the lease of its copied entry.
+const REPORT_PERIOD: Duration = Duration::from_secs(5);
+/// Maximum number of endpoints reported at once: more than leave within the seconds of a copy's age.
 const MAX_REPORTED: usize = 64;
 
-/// An incarnation that had left.
+/// An incarnation that left.
 #[derive(Clone, Copy, Debug)]
 struct Left {
     started: Option<StartMillis>,
     since: Instant,
-    /// When it is asked next.
-    ask_at: Instant,
+    /// When the next health check is due.
+    probe_at: Instant,
 }
 
-/// The endpoints that had left before the present era of the store, by id.
+/// The endpoints that left before the current era of the store, by id.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LeftEndpoints {
     left: BTreeMap<EndpointId, Left>,
-    /// Those of them that said in this era that they are well.
+    /// Endpoints that reported in this era that they are healthy.
     returned: BTreeMap<EndpointId, Option<StartMillis>>,
 }
 
 impl LeftEndpoints {
-    /// A new era begins: what endpoints said in the one before no longer counts.
+    /// Begins a new era: reports from the previous one are no longer valid.
     pub(super) fn begin_era(&mut self) {
         self.returned.clear();
     }
 
-    /// The leave of an incarnation binds in the era that begins at `now`.
+    /// Records an incarnation that left before the current era. `now` starts its report and retention
+    /// periods.
     pub(super) fn insert(&mut self, incarnation: Incarnation, now: Instant) {
         if self.left.len() < MAX_LEFT {
-            let left = Left { started: incarnation.started, since: now, ask_at: now + ASK_EVERY };
+            let left =
+                Left { started: incarnation.started, since: now, probe_at: now + PROBE_INTERVAL };
             self.left.entry(incarnation.id).or_insert(left);
         }
     }
 
-    /// Whether an endpoint had left, in its incarnation.
-    pub(super) fn holds(&self, endpoint: &Endpoint) -> bool {
+    /// Returns whether an endpoint left in its current incarnation.
+    pub(super) fn contains(&self, endpoint: &Endpoint) -> bool {
         self.left.get(&endpoint.id).is_some_and(|left| left.started == endpoint.started)
     }
 
-    /// An endpoint tells by itself whether it leaves.
+    /// Removes an endpoint that reports its own state.
     pub(super) fn remove(&mut self, id: &str) {
         self.left.remove(id);
     }
 
-    /// An endpoint that had left says that it is well.
-    pub(super) fn note_returned(&mut self, incarnation: &Incarnation) {
+    /// Records that an endpoint reported that it is healthy.
+    pub(super) fn mark_returned(&mut self, incarnation: &Incarnation) {
         self.remove(&incarnation.id);
         self.returned.insert(incarnation.id.clone(), incarnation.started);
     }
 
-    /// Whether an endpoint said in this era, and in this incarnation, that it is well.
+    /// Returns whether this incarnation reported in this era that it is healthy.
     pub(super) fn has_returned(&self, incarnation: &Incarnation) -> bool {
         self.returned.get(&incarnation.id).is_some_and(|started| *started == incarnation.started)
     }
 
-    /// Those that are reported to other processes: the `listed` ones, and for a while the others, whose copied entry another process may
-    /// still have.
+    /// Returns the incarnations to report to other processes: the `listed` ones, and for a while the
+    /// others, as another process may still have their copied entry.
     pub(super) fn to_report(
         &self,
         listed: impl Fn(&EndpointId) -> bool,
         now: Instant,
     ) -> Vec<Incarnation> {
         let reported =
-            self.left.iter().filter(|(id, left)| now - left.since < REPORTED_FOR || listed(id));
+            self.left.iter().filter(|(id, left)| now - left.since < REPORT_PERIOD || listed(id));
         reported
             .map(|(id, left)| Incarnation::new(id.clone(), left.started))
             .take(MAX_REPORTED)
             .collect()
     }
 
-    /// Those that are to be asked now, of the `listed` ones. The others are forgotten after a while.
+    /// Returns the `listed` endpoints that are due for a health check. Removes the others after a while.
     pub(super) fn due(
         &mut self,
         listed: impl Fn(&EndpointId) -> bool,
         now: Instant,
     ) -> Vec<EndpointId> {
-        self.left.retain(|id, left| listed(id) || now - left.since < REMEMBERED_FOR);
+        self.left.retain(|id, left| listed(id) || now - left.since < RETENTION);
         let mut found = Vec::new();
-        for (id, left) in self.left.iter_mut().filter(|(id, left)| listed(id) && left.ask_at <= now)
+        for (id, left) in
+            self.left.iter_mut().filter(|(id, left)| listed(id) && left.probe_at <= now)
         {
-            left.ask_at = now + ASK_EVERY;
+            left.probe_at = now + PROBE_INTERVAL;
             found.push(id.clone());
         }
         found
     }
 
-    /// All of them, to hand on.
+    /// Returns all incarnations that left.
     pub(super) fn incarnations(&self) -> impl Iterator<Item = Incarnation> {
         self.left.iter().map(|(id, left)| Incarnation::new(id.clone(), left.started))
     }
--- a/crates/routing/src/process/knowledge/missing.rs
+++ b/crates/routing/src/process/knowledge/missing.rs
@@ -1,4 +1,4 @@
-//! Endpoints whose entry is missing, and may come back.
+//! Endpoints whose entry is missing and may be written again.
 
 use super::knowledge::Knowledge;
 use super::{EntryState, KnownEndpoint};
@@ -6,12 +6,14 @@
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-/// For how long the layers of an endpoint are planned for whose entry is missing or can't be used: entries come back at two
-/// seconds, not before. An engine writes over an entry that can't be used with its next heartbeat or the one after.
+/// How long an endpoint whose entry is missing or unusable is kept, and its layers stay in the plan:
+/// entries are written again after two seconds, not earlier. An engine overwrites an unusable entry
+/// with one of its next two heartbeats.
 const ENTRY_GRACE: Duration = Duration::from_millis(3_500);
 
 impl Knowledge {
-    /// An entry is gone that may have lapsed: its endpoint stays for a while, if it wasn't leaving.
+    /// Marks an entry as missing that may merely have expired. Returns whether its endpoint is kept for a
+    /// while, as it is known and not leaving.
     pub fn mark_missing(&mut self, id: &str, now: Instant) -> bool {
         match self.endpoints.get_mut(id) {
             Some(known) if !known.endpoint.is_leaving => {
@@ -22,13 +24,14 @@
         }
     }
 
-    /// The endpoints that a list of all entries doesn't hold.
+    /// Returns the known endpoints that are absent from a list of all entries.
     pub fn unlisted(&self, listed: &HashSet<EndpointId>) -> Vec<EndpointId> {
         self.endpoints.keys().filter(|id| !listed.contains(*id)).cloned().collect()
     }
 
-    /// Takes a list of all entries after an outage. What is missing stays for a while, as its
-    /// entry may only have lapsed. Returns those whose entry wasn't missing or unusable before.
+    /// Marks the endpoints as missing that are absent from a list of all entries after an outage. They are
+    /// kept for a while, as their entry may merely have expired. Returns those whose entry wasn't missing
+    /// or unusable before.
     pub fn mark_unlisted(&mut self, listed: &HashSet<EndpointId>, now: Instant) -> Vec<EndpointId> {
         let unlisted = self.endpoints.iter_mut().filter(|(id, _)| !listed.contains(*id));
         let missing = unlisted.filter(|(_, known)| known.entry == EntryState::Listed);
@@ -41,14 +44,14 @@
         newly_missing
     }
 
-    /// Whether an endpoint's entry is missing, and may come back.
+    /// Returns whether an endpoint's entry is missing and may be written again.
     pub fn is_missing(&self, id: &str) -> bool {
         let entry = self.endpoints.get(id).map(|known| &known.entry);
         matches!(entry, Some(EntryState::MissingSince(_)))
     }
 
-    /// Gives up endpoints whose entry has been missing or unusable for too long. Tells which, and
-    /// what became of the entry.
+    /// Removes the endpoints whose entry has been missing or unusable for too long. Returns them with the
+    /// state of their entry.
     pub fn expire(&mut self, now: Instant) -> Vec<(EndpointId, EntryState)> {
         let is_over =
             |known: &&KnownEndpoint| known.entry.since().is_some_and(|at| now - at >= ENTRY_GRACE);
--- a/crates/routing/src/process/knowledge/mod.rs
+++ b/crates/routing/src/process/knowledge/mod.rs
@@ -1,4 +1,4 @@
-//! What a process knows of the configuration and of the endpoints, and what it hands on.
+//! What a process knows about the configuration and the endpoints, and what it sends to others.
 
 mod dropped_services;
 mod era;
--- a/crates/routing/src/process/knowledge/refused_entries.rs
+++ b/crates/routing/src/process/knowledge/refused_entries.rs
@@ -1,79 +1,81 @@
-//! The entries of the list that name no endpoint to use.
+//! Listed entries that can't be used.
 
 use crate::process::{Endpoint, EndpointId, EntryFault, FOUND_MOST, Revision, cut};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The most refused entries that are remembered: more than a list of all endpoints holds.
-const MOST_REFUSED: usize = 1_024;
-/// The longest id that is remembered as it is, in bytes; longer ones are cut.
-const ID_MOST: usize = 253;
-/// An entry that names no endpoint to use.
+/// Maximum number of refused entries kept: more than a list of all endpoints contains.
+const MAX_REFUSED: usize = 1_024;
+/// Maximum length of an id in bytes; longer ones are truncated.
+const MAX_ID_BYTES: usize = 253;
+
+/// An entry that can't be used.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RefusedEntry {
     /// Revision of the entry.
     pub revision: Revision,
-    /// What is wrong with it.
+    /// Why the entry can't be used.
     pub fault: EntryFault,
-    /// What it tells, where it only lacks its start.
+    /// The endpoint that the entry describes, if only its start is absent.
     pub endpoint: Option<Endpoint>,
-    /// Its endpoint told its start before.
-    pub told_start: bool,
+    /// Whether an earlier entry of the endpoint contained its start.
+    #[serde(rename = "told_start")]
+    pub had_start: bool,
 }
 
 impl RefusedEntry {
-    /// An entry of `revision` with a fault.
+    /// Creates a refused entry without an endpoint.
     pub fn new(revision: Revision, fault: EntryFault) -> RefusedEntry {
-        RefusedEntry { revision, fault, endpoint: None, told_start: false }
+        RefusedEntry { revision, fault, endpoint: None, had_start: false }
     }
 
-    /// What the entry tells besides.
+    /// Adds the endpoint that the entry describes.
     pub fn with_endpoint(self, endpoint: Endpoint) -> RefusedEntry {
         RefusedEntry { endpoint: Some(endpoint), ..self }
     }
 }
 
-/// The entries that name no endpoint to use, by id. Bounded: what doesn't fit is not remembered.
+/// The entries that can't be used, by id. Bounded: entries beyond the limit are dropped.
 #[derive(Default)]
 pub struct RefusedEntries {
     entries: BTreeMap<EndpointId, RefusedEntry>,
 }
 
 impl RefusedEntries {
-    /// Takes an entry, in place of the one before.
+    /// Inserts an entry, or replaces the previous one of the same id.
     pub fn insert(&mut self, id: &str, entry: RefusedEntry) {
         let key = key(id);
-        if self.entries.len() < MOST_REFUSED || self.entries.contains_key(&key) {
+        if self.entries.len() < MAX_REFUSED || self.entries.contains_key(&key) {
             self.entries.insert(key, entry);
         }
     }
 
-    /// The refused entry of an endpoint.
+    /// Returns the refused entry of an endpoint.
     pub fn get(&self, id: &str) -> Option<&RefusedEntry> {
         self.entries.get(&key(id))
     }
 
-    /// Forgets the entry of an endpoint.
+    /// Removes the entry of an endpoint.
     pub fn remove(&mut self, id: &str) {
         self.entries.remove(&key(id));
     }
 
-    /// Keeps those whose id is `listed`.
+    /// Keeps only the entries whose id is `listed`.
     pub fn retain(&mut self, listed: impl Fn(&EndpointId) -> bool) {
         self.entries.retain(|id, _| listed(id));
     }
 
-    /// All of them, by id.
+    /// Returns all entries, sorted by id.
     pub fn iter(&self) -> impl Iterator<Item = (&EndpointId, &RefusedEntry)> {
         self.entries.iter()
     }
 
-    /// What entries tell that only lack their start.
+    /// Returns the endpoints of the entries in which only the start is absent.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         self.entries.values().filter_map(|entry| entry.endpoint.as_ref())
     }
 }
 
 fn key(id: &str) -> EndpointId {
-    if id.len() <= ID_MOST { id.to_owned() } else { cut(id, FOUND_MOST) }
+    if id.len() <= MAX_ID_BYTES { id.to_owned() } else { cut(id, FOUND_MOST) }
 }
--- a/crates/routing/src/process/knowledge/starts.rs
+++ b/crates/routing/src/process/knowledge/starts.rs
@@ -1,20 +1,20 @@
-//! Whether entries must tell a start, and those that don't.
+//! Whether entries must contain their endpoint's start, and the entries without one.
 
 use super::knowledge::Knowledge;
 use crate::process::{Endpoint, EndpointId, Revision, do_most_tell_start, is_start_untold};
 use std::collections::HashSet;
 
-/// Entries whose start is judged otherwise than before.
+/// Entries that are evaluated differently after a change of the start rule.
 #[derive(Debug, Default)]
 pub struct StartVerdicts {
-    /// They must tell a start, and don't.
+    /// Entries accepted so far that lack a start which is now required.
     pub refused: Vec<(Endpoint, Revision)>,
-    /// They needn't any more.
+    /// Entries refused so far whose start is no longer required.
     pub accepted: Vec<(Endpoint, Revision)>,
 }
 
 impl Knowledge {
-    /// Works out whether entries must tell a start, with those that were just read.
+    /// Determines whether entries must contain a start, from all known entries and those just `read`.
     pub fn note_starts<'a>(&mut self, read: impl Iterator<Item = &'a Endpoint> + Clone) {
         let new: HashSet<&EndpointId> = read.clone().map(|endpoint| &endpoint.id).collect();
         let refused = self.refused.endpoints();
@@ -27,18 +27,18 @@
         self.is_start_required = do_most_tell_start(all);
     }
 
-    /// Whether an entry lacks a start that it must tell.
+    /// Returns whether an entry lacks a start that is required.
     pub fn lacks_start(&self, endpoint: &Endpoint) -> bool {
-        is_start_untold(endpoint, self.told_start(&endpoint.id), self.is_start_required)
+        is_start_untold(endpoint, self.had_start(&endpoint.id), self.is_start_required)
     }
 
-    /// Whether an endpoint told its start before.
-    pub(super) fn told_start(&self, id: &str) -> bool {
+    /// Returns whether an earlier entry of an endpoint contained its start.
+    pub(super) fn had_start(&self, id: &str) -> bool {
         self.endpoint(id).is_some_and(|endpoint| endpoint.started.is_some())
-            || self.refused.get(id).is_some_and(|entry| entry.told_start)
+            || self.refused.get(id).is_some_and(|entry| entry.had_start)
     }
 
-    /// Entries that are judged otherwise by what is known of starts by now.
+    /// Evaluates all entries against the current start rule. Returns those with a changed result.
     pub fn start_verdicts(&mut self) -> StartVerdicts {
         let usable = self.endpoints.values().filter(|known| !known.entry.is_unusable());
         let refused = usable.filter(|known| self.lacks_start(&known.endpoint));
@@ -49,7 +49,7 @@
         });
         let accepted: Vec<(Endpoint, Revision)> = accepted.collect();
         for (endpoint, _) in &accepted {
-            // Its entry is as old as before, and counts.
+            // The unchanged entry is accepted again, so its revision must not count as outdated.
             self.removed.remove(&endpoint.id);
         }
         StartVerdicts { refused, accepted }
--- a/crates/routing/src/process/placement/chain_plan.rs
+++ b/crates/routing/src/process/placement/chain_plan.rs
@@ -1,128 +1,131 @@
-//! Divides the layers of a model over a chain of engines in a given order.
+//! Divides the layers of a model among a chain of engines in a given order.
 
 use crate::process::LayerRange;
-use crate::process::placement::first_engines_wanted;
+use crate::process::placement::wanted_first_engines;
 use crate::version::ModelShape;
 
-/// An engine of the chain, as the division sees it.
+/// The properties of an engine that the division of layers depends on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChainEngine {
     /// Memory for layers and KV cache, in MB.
     pub memory_mb: f64,
-    /// Factor on the time of a step: that of its card, times its slowness.
+    /// Factor on the step time: that of its card, times its slowness.
     pub step_factor: f64,
-    /// The layers that it holds or loads.
+    /// The layers that it holds or is loading.
     pub held: LayerRange,
-    /// It keeps these layers.
+    /// Whether it must keep these layers.
     pub is_pinned: bool,
 }
 
-/// A division of the layers and what it costs; comparable for the same engines only.
+/// A division of the layers and its cost, which is comparable for the same engines only.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChainPlan {
     /// The layers of each engine, in the order of the chain; some may be empty.
     pub ranges: Vec<LayerRange>,
-    /// Lower is better.
+    /// Cost of the division; lower is better.
     pub cost: f64,
 }
 
-/// How a division weighs loads against room.
+/// Weights of layer loads, step time and free capacity in the cost of a division.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Weights {
-    /// Cost of loading one layer. Scarcity adds up to about one for each engine.
+    /// Cost of loading one layer. The scarcity terms add up to about one per engine.
     pub load: f64,
-    /// Weight of a step's time against scarcity: with more, fast cards hold more layers.
+    /// Weight of step time against scarcity: the higher, the more layers fast cards hold.
     pub step_time: f64,
-    /// Exponent of the scarcity of room.
+    /// Exponent of the scarcity of capacity.
     pub scarcity_power: i32,
-    /// Engines keep what they hold beside what they take: giving layers up waits for the streams
-    /// that pass through them, for up to eight seconds.
+    /// Whether engines keep their current layers beside the new ones: releasing layers waits up to eight
+    /// seconds for the streams that pass through them.
     pub keeps_held: bool,
-    /// The least room that an engine is left with, as usual requests.
-    pub least_requests: f64,
+    /// Minimum capacity that an engine keeps, in requests of usual size.
+    pub min_requests: f64,
 }
 
 impl Weights {
-    /// For a chain that is whole: the engine with the least room bounds the whole chain, and the
-    /// fourth power comes close to a maximum and still adds up. A move of a tenth of 80 layers must
-    /// gain about a fifth of one engine's scarcity.
+    /// Weights for a chain without gaps. The engine with the least capacity limits the whole chain; the
+    /// fourth power approximates a maximum and is still additive. A move of a tenth of 80 layers must reduce
+    /// the scarcity of one engine by about a fifth.
     pub const BALANCE: Weights = Weights {
         load: 0.025,
         step_time: 0.5,
         scarcity_power: 4,
         keeps_held: false,
-        least_requests: 4.0,
+        min_requests: 4.0,
     };
-    /// For a gap whose engine died, its streams with it: layers move at once, as nothing passes
-    /// through them.
+    /// Weights for a gap left by a failed engine whose streams ended with it: layers move at once, as no
+    /// streams pass through them.
     pub const REPAIR_IDLE: Weights = Weights { keeps_held: false, ..Weights::REPAIR };
-    /// For a chain with a gap: streams wait for each load, some 0.2 s a layer, while room can be
-    /// evened out later. A neighbour takes up to about three layers before the next one shares, and
-    /// keeps room that is worth a path: one that takes 12 streams is full within a second.
+    /// Weights for a chain with a gap. Streams wait for each load, about 0.2 s per layer, while capacity can
+    /// be balanced later. A neighbour takes up to about three layers before the next one shares the load, and
+    /// keeps enough capacity to be useful in a path: an engine that takes 12 streams is full within a second.
     pub const REPAIR: Weights = Weights {
         load: 1.0,
         step_time: 0.5,
         scarcity_power: 2,
         keeps_held: true,
-        least_requests: 30.0,
+        min_requests: 30.0,
     };
 }
 
-/// Weights of a step's time that a balance tries. Mean worth of 15 days with faults on cards that differ
-/// sevenfold, by this weight alone: 0.650 (0.5), 0.660 (6), 0.679 (30), 0.706 (120), 0.716 (500), 0.684
-/// (2,000). Where few cards are fast, a high weight costs half of the room for steps that are hardly
-/// shorter: 0.575 -> 0.527 at 200, nine days.
-const STEP_TIMES_TRIED: [f64; 4] = [0.5, 30.0, 200.0, 500.0];
+/// Step-time weights that [`divide_balanced`] tries. Mean score over 15 days with faults on cards whose
+/// speeds differ sevenfold, by a single weight: 0.650 (0.5), 0.660 (6), 0.679 (30), 0.706 (120), 0.716
+/// (500), 0.684 (2,000). Where few cards are fast, a high weight costs half of the capacity for steps that
+/// are hardly shorter: 0.575 -> 0.527 at 200 over nine days.
+const STEP_TIME_WEIGHTS: [f64; 4] = [0.5, 30.0, 200.0, 500.0];
 
-/// Factor by which a faster division must be worth more than one that spreads room evenly: what is even
-/// bears the loss of an engine better.
+/// Factor by which the score of a faster division must exceed that of one with evenly spread capacity,
+/// as an even division is less affected by the loss of an engine.
 const FASTER_MARGIN: f64 = 1.25;
 
-/// The division of a chain whose room and steps are best together, with the weights that it goes by.
+/// Returns the division with the best score of capacity and step time, and the weights that led to it.
 ///
-/// Requests that a chain serves in a second are its room over the time for which each takes its place,
-/// and that is as long as the steps; the share of them that meet a fault grows with it once more. So
-/// room may halve where steps get shorter by a factor of 1.4. Room beyond the slots of first engines is
-/// of no use.
-pub fn divide_evenly(shape: &ModelShape, engines: &[ChainEngine]) -> Option<(ChainPlan, Weights)> {
-    let weights = STEP_TIMES_TRIED.map(|step_time| Weights { step_time, ..Weights::BALANCE });
+/// The request rate of a chain is its capacity divided by the time that each request occupies it, which
+/// is proportional to the step time; the share of requests affected by a fault grows with that time as
+/// well. Hence half the capacity is acceptable if steps get shorter by a factor of 1.4. Capacity beyond
+/// the slots of first engines has no use.
+pub fn divide_balanced(
+    shape: &ModelShape,
+    engines: &[ChainEngine],
+) -> Option<(ChainPlan, Weights)> {
+    let weights = STEP_TIME_WEIGHTS.map(|step_time| Weights { step_time, ..Weights::BALANCE });
     let plans = weights.iter().filter_map(|weights| {
         let plan = divide(shape, engines, *weights)?;
         let margin = if *weights == Weights::BALANCE { FASTER_MARGIN } else { 1.0 };
-        Some((worth(shape, engines, &plan) * margin, plan, *weights))
+        Some((score(shape, engines, &plan) * margin, plan, *weights))
     });
     let best = plans.max_by(|a, b| a.0.total_cmp(&b.0));
     best.map(|(_, plan, weights)| (plan, weights))
 }
 
-/// Time of a step over a division, as a factor on the model's.
-pub fn step_of(shape: &ModelShape, engines: &[ChainEngine], plan: &ChainPlan) -> f64 {
+/// Returns the step time of a division, as a factor on the model's step time.
+pub fn step_time_factor(shape: &ModelShape, engines: &[ChainEngine], plan: &ChainPlan) -> f64 {
     let each = engines.iter().zip(&plan.ranges);
     let layers = each.map(|(engine, range)| f64::from(range.len()) * engine.step_factor);
     layers.sum::<f64>() / f64::from(shape.layers.max(1))
 }
 
-fn worth(shape: &ModelShape, engines: &[ChainEngine], plan: &ChainPlan) -> f64 {
+fn score(shape: &ModelShape, engines: &[ChainEngine], plan: &ChainPlan) -> f64 {
     let holding = engines.iter().zip(&plan.ranges).filter(|(_, range)| !range.is_empty());
-    let room =
+    let capacity =
         holding.map(|(engine, range)| engine.memory_mb / f64::from(range.len()) - shape.layer_mb);
-    let least = room.fold(useful_room(shape, engines), f64::min);
-    least / step_of(shape, engines, plan).max(f64::MIN_POSITIVE).powi(2)
+    let min_capacity = capacity.fold(useful_capacity(shape, engines), f64::min);
+    min_capacity / step_time_factor(shape, engines, plan).max(f64::MIN_POSITIVE).powi(2)
 }
 
-/// Room for each layer, in MB, that an even division would have and first engines can fill.
-fn useful_room(shape: &ModelShape, engines: &[ChainEngine]) -> f64 {
+/// Returns the free memory per layer, in MB, that an even division would have and first engines can fill.
+fn useful_capacity(shape: &ModelShape, engines: &[ChainEngine]) -> f64 {
     let memory: f64 = engines.iter().map(|engine| engine.memory_mb).sum();
     let layers = f64::from(shape.layers);
-    let even_room = (memory / layers - shape.layer_mb).max(0.0);
-    let heads = first_engines_wanted(shape, memory - shape.model_mb());
-    let most_requests = heads as f64 * f64::from(shape.slots);
-    even_room.min(most_requests * shape.request_mb() / layers)
+    let even_capacity = (memory / layers - shape.layer_mb).max(0.0);
+    let heads = wanted_first_engines(shape, memory - shape.model_mb());
+    let max_requests = heads as f64 * f64::from(shape.slots);
+    even_capacity.min(max_requests * shape.request_mb() / layers)
 }
 
-/// Divides all layers over the engines in their order; nothing if they can't hold them.
+/// Divides all layers among the engines in their order. Returns `None` if they can't hold the layers.
 ///
-/// Dynamic programming over (engine, first layer not yet given out), `O(engines * layers^2)`.
+/// Dynamic programming over (engine, first unassigned layer), `O(engines * layers^2)`.
 pub fn divide(shape: &ModelShape, engines: &[ChainEngine], weights: Weights) -> Option<ChainPlan> {
     let layers = shape.layers as usize;
     let costs = EngineCosts::new(shape, engines, weights);
@@ -130,13 +133,13 @@
     let mut taken = vec![vec![0u32; layers + 1]; engines.len() + 1];
     best[0][0] = 0.0;
     for (index, engine) in engines.iter().enumerate() {
-        let most = costs.most_layers(index);
+        let max_count = costs.max_layers(index);
         for from in 0..=layers {
             let so_far = best[index][from];
             if so_far.is_infinite() {
                 continue;
             }
-            for count in 0..=most.min(layers as u32 - from as u32) {
+            for count in 0..=max_count.min(layers as u32 - from as u32) {
                 let range = LayerRange::new(from as u32, from as u32 + count);
                 let cost = so_far + costs.of(index, engine, range);
                 let to = from + count as usize;
@@ -148,10 +151,10 @@
         }
     }
     let cost = best[engines.len()][layers];
-    cost.is_finite().then(|| ChainPlan { ranges: trace(&taken, engines.len(), layers), cost })
+    cost.is_finite().then(|| ChainPlan { ranges: backtrack(&taken, engines.len(), layers), cost })
 }
 
-/// What the ranges that the engines hold now would cost as a division.
+/// Returns the cost of a division into the given ranges.
 pub fn cost_of(
     shape: &ModelShape,
     engines: &[ChainEngine],
@@ -163,7 +166,7 @@
     each.map(|(index, (engine, range))| costs.of(index, engine, *range)).sum()
 }
 
-fn trace(taken: &[Vec<u32>], engines: usize, layers: usize) -> Vec<LayerRange> {
+fn backtrack(taken: &[Vec<u32>], engines: usize, layers: usize) -> Vec<LayerRange> {
     let mut ranges = vec![LayerRange::default(); engines];
     let mut to = layers;
     for index in (0..engines).rev() {
@@ -174,9 +177,9 @@
     ranges
 }
 
-/// The cost of each count of layers at each engine.
+/// The cost of each number of layers on each engine.
 struct EngineCosts {
-    /// By engine and count of layers.
+    /// Cost by engine and number of layers.
     by_count: Vec<Vec<f64>>,
     weights: Weights,
 }
@@ -184,13 +187,13 @@
 impl EngineCosts {
     fn new(shape: &ModelShape, engines: &[ChainEngine], weights: Weights) -> EngineCosts {
         let layers = f64::from(shape.layers);
-        let useful_room = useful_room(shape, engines);
+        let useful_capacity = useful_capacity(shape, engines);
         let mean_step = engines.iter().map(|engine| engine.step_factor).sum::<f64>()
             / engines.len().max(1) as f64;
         let row = |engine: &ChainEngine| {
-            let most = (engine.memory_mb / shape.layer_mb).floor() as u32;
-            let counts = (0..=most.min(shape.layers)).map(|count| {
-                let scarcity = scarcity(shape, engine, count, useful_room, weights);
+            let max_count = (engine.memory_mb / shape.layer_mb).floor() as u32;
+            let counts = (0..=max_count.min(shape.layers)).map(|count| {
+                let scarcity = scarcity(shape, engine, count, useful_capacity, weights);
                 let time = f64::from(count) * engine.step_factor / (layers * mean_step.max(1e-9));
                 scarcity + weights.step_time * time
             });
@@ -200,7 +203,7 @@
         EngineCosts { by_count, weights }
     }
 
-    fn most_layers(&self, index: usize) -> u32 {
+    fn max_layers(&self, index: usize) -> u32 {
         self.by_count[index].len().saturating_sub(1) as u32
     }
 
@@ -218,21 +221,22 @@
     }
 }
 
-/// How scarce room is at an engine with so many layers, 1 where it has the room that is of use.
+/// Returns the scarcity of capacity on an engine with `count` layers: 1 if it has exactly the usable
+/// capacity per layer, infinite if it has less than the minimum.
 fn scarcity(
     shape: &ModelShape,
     engine: &ChainEngine,
     count: u32,
-    useful_room: f64,
+    useful_capacity: f64,
     weights: Weights,
 ) -> f64 {
     if count == 0 {
         return 0.0;
     }
-    let room = engine.memory_mb / f64::from(count) - shape.layer_mb;
-    let least = weights.least_requests * shape.usual_tokens() * shape.kv_mb_per_token_layer();
-    if room < least {
+    let capacity = engine.memory_mb / f64::from(count) - shape.layer_mb;
+    let min_capacity = weights.min_requests * shape.usual_tokens() * shape.kv_mb_per_token_layer();
+    if capacity < min_capacity {
         return f64::INFINITY;
     }
-    (useful_room / room).powi(weights.scarcity_power)
+    (useful_capacity / capacity).powi(weights.scarcity_power)
 }
--- a/crates/routing/src/process/placement/mod.rs
+++ b/crates/routing/src/process/placement/mod.rs
@@ -1,7 +1,7 @@
-//! Which engine holds which layers.
+//! Assignment of model layers to engines.
 //!
-//! Each data centre gets chains of engines that hold the model once each: as many as its memory
-//! allows with room for the requests that their first engines take, at least one.
+//! The engines of each data centre form chains that each hold the whole model: at least one, and as many
+//! as memory allows with free capacity for the requests that their first engines accept.
 
 mod chain_plan;
 mod chains;
--- a/crates/routing/src/process/placement/planner.rs
+++ b/crates/routing/src/process/placement/planner.rs
@@ -1,8 +1,8 @@
-//! Plans the chains of one data centre: order of the engines and their layers.
+//! Plans the chains of one data centre: the order of the engines and their layers.
 
 use crate::process::placement::chains::memory;
 use crate::process::placement::{
-    ChainEngine, ChainPlan, Weights, cost_of, divide, divide_evenly, divide_into_chains,
+    ChainEngine, ChainPlan, Weights, cost_of, divide, divide_balanced, divide_into_chains,
 };
 use crate::process::{Incarnation, LayerRange, MAX_PARTS};
 use crate::version::ModelShape;
@@ -11,28 +11,28 @@
 /// An engine that can hold layers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedEngine {
-    /// The engine, in its present incarnation.
+    /// The engine, in its current incarnation.
     pub incarnation: Incarnation,
     /// Memory for layers and KV cache, in MB.
     pub memory_mb: f64,
-    /// Factor on the time of a step: that of its card, times its slowness.
+    /// Factor on the step time: that of its card, times its slowness.
     pub step_factor: f64,
-    /// The layers that it holds or loads.
+    /// The layers that it holds or is loading.
     pub held: LayerRange,
-    /// It has an order under way, and takes no other: giving layers up waits for the streams that
-    /// pass, for seconds.
+    /// Whether it is executing an order and accepts no other: releasing layers waits for passing streams,
+    /// which takes seconds.
     pub is_pinned: bool,
-    /// The chain that it is part of, if that is known.
+    /// The chain that it belongs to, if known.
     pub chain: Option<usize>,
 }
 
 impl PlannedEngine {
-    /// The engine as if it held nothing and were part of no chain.
+    /// Returns the engine without layers and chain.
     pub fn emptied(self) -> PlannedEngine {
         PlannedEngine { held: LayerRange::default(), chain: None, ..self }
     }
 
-    /// The engine as the division of a chain sees it.
+    /// Returns the properties of the engine that a division depends on.
     pub fn in_chain(&self) -> ChainEngine {
         ChainEngine {
             memory_mb: self.memory_mb,
@@ -46,41 +46,41 @@
 /// The layers that each engine of a data centre should hold.
 pub type Placement = BTreeMap<Incarnation, LayerRange>;
 
-/// What the engines of a data centre should do.
+/// The planned layers and chains of a data centre's engines.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DataCentrePlan {
-    /// The layers of each.
+    /// Layers by engine.
     pub placement: Placement,
-    /// The chain of each.
+    /// Chain index by engine.
     pub chains: BTreeMap<Incarnation, usize>,
 }
 
-/// A whole chain is given up for another only if that costs this share of it or less: each move
-/// closes layers to new requests for a while.
-const WORTH_MOVING: f64 = 0.8;
+/// Maximum cost of a new division, as a share of the current one's, to replace a complete chain: each
+/// move closes layers to new requests for a while.
+const MAX_MOVE_COST: f64 = 0.8;
 
-/// Whether the layers that engines hold or load cover the model.
+/// Returns whether the layers that engines hold or are loading cover the model.
 pub fn covers(shape: &ModelShape, engines: &[PlannedEngine]) -> bool {
     (0..shape.layers).all(|layer| engines.iter().any(|engine| engine.held.contains(layer)))
 }
 
-/// Room of the scarcest engine, against that of an even division, below which a chain should be
+/// Smallest capacity of an engine, as a share of that of an even division, below which a chain should be
 /// balanced at once.
-const SCARCE: f64 = 0.5;
+const SCARCE_CAPACITY: f64 = 0.5;
 
-/// Whether an engine has so little room that it bounds its chain far below an even division.
+/// Returns whether an engine limits the chain to far less capacity than an even division has.
 pub fn is_scarce(shape: &ModelShape, chain: &[PlannedEngine]) -> bool {
     let even = memory(chain) / f64::from(shape.layers) - shape.layer_mb;
-    let room = |engine: &PlannedEngine| {
+    let capacity = |engine: &PlannedEngine| {
         engine.memory_mb / f64::from(engine.held.len().max(1)) - shape.layer_mb
     };
     let held = chain.iter().filter(|engine| !engine.held.is_empty());
-    held.map(room).fold(f64::INFINITY, f64::min) < even * SCARCE
+    held.map(capacity).fold(f64::INFINITY, f64::min) < even * SCARCE_CAPACITY
 }
 
-/// The layers that each engine should hold; nothing where they can't hold the model. A chain with
-/// a gap is closed with few loads; one without is balanced. `is_idle`: no streams pass through the
-/// chains, as an engine died and no other runs its layers.
+/// Plans the layers of each engine. Returns `None` if the engines can't hold the model. A chain with a
+/// gap is repaired with few loads; one without is balanced. `is_idle` states that no streams pass through
+/// the chains, as an engine failed and no other runs its layers.
 pub fn plan_data_centre(
     shape: &ModelShape,
     engines: &[PlannedEngine],
@@ -91,12 +91,12 @@
     let mut has_chain = false;
     for (index, chain) in divide_into_chains(shape, engines).into_iter().enumerate() {
         plan.chains.extend(chain.iter().map(|engine| (engine.incarnation.clone(), index)));
-        match plan_one(shape, &chain, is_served, is_idle) {
+        match plan_one_chain(shape, &chain, is_served, is_idle) {
             Some(planned) => {
                 has_chain = true;
                 plan.placement.extend(planned);
             }
-            // What its engines hold still serves the other chains.
+            // The layers that its engines hold still serve the other chains.
             None => {
                 plan.placement
                     .extend(chain.into_iter().map(|engine| (engine.incarnation, engine.held)));
@@ -106,9 +106,9 @@
     has_chain.then_some(plan)
 }
 
-/// The layers of the engines of one chain. `is_served`: all layers are held by an engine of the data
-/// centre.
-fn plan_one(
+/// Plans the layers of one chain's engines. `is_served` states that each layer is held by some engine of
+/// the data centre.
+fn plan_one_chain(
     shape: &ModelShape,
     chain: &[PlannedEngine],
     is_served: bool,
@@ -122,11 +122,11 @@
     if heads.is_empty() {
         return None;
     }
-    // The others can't hold what is missing: further first engines give theirs up.
+    // The others can't hold the missing layers, so additional first engines release theirs.
     plan_engines(shape, chain, largest(chain), is_served, is_idle)
 }
 
-/// The layers of those `engines` of a chain that make it whole.
+/// Plans the layers of those `engines` of a chain that are to cover the model.
 fn plan_engines(
     shape: &ModelShape,
     chain: &[PlannedEngine],
@@ -139,38 +139,40 @@
         (true, _) => plan_chain(shape, engines, Weights::BALANCE),
         (false, false) if is_idle => plan_chain(shape, engines, Weights::REPAIR_IDLE),
         (false, false) => plan_chain(shape, engines, Weights::REPAIR),
-        // Another chain runs what is missing, so that only an empty engine that fits moves at once.
+        // Another chain runs the missing layers, so only an empty engine that can hold them moves at once.
         (false, true) if has_empty => plan_growth(shape, engines),
         (false, true) => plan_chain(shape, engines, Weights::BALANCE),
     }
 }
 
-/// Room for requests from which on a further first engine pays, as a multiple of an engine's slots.
+/// Remaining requests, as a share of an engine's slots, from which an additional first engine is
+/// worthwhile.
 const HEADS_ROUNDING: f64 = 0.5;
-/// The most first engines of a chain.
+/// Maximum number of first engines of a chain.
 const MAX_HEADS: usize = 4;
-/// Share of its memory that a further first engine gives to layers: the rest holds its share of
-/// the requests.
+/// Share of its memory that an additional first engine uses for layers; the rest holds its share of the
+/// requests.
 const HEAD_LAYERS_SHARE: f64 = 0.6;
 
-/// How many first engines a chain with so much memory for requests should have, its own included.
-pub(super) fn first_engines_wanted(shape: &ModelShape, free_mb: f64) -> usize {
+/// Returns how many first engines, including its own, a chain with `free_mb` of memory for requests
+/// should have.
+pub(super) fn wanted_first_engines(shape: &ModelShape, free_mb: f64) -> usize {
     let requests = free_mb / shape.request_mb().max(1e-9);
     let wanted = (requests / f64::from(shape.slots.max(1)) + HEADS_ROUNDING).floor() as usize;
     wanted.clamp(1, MAX_HEADS)
 }
 
-/// Takes engines out of the chain that are first engines beside the chain's own: an engine takes
-/// only so many requests as the first of their path, where memory would hold more. Engines that are
-/// such keep their layers; new ones are the smallest that are empty.
+/// Splits off the additional first engines of a chain: an engine accepts a limited number of requests as
+/// the first of their path, where memory would hold more. Existing ones keep their layers; new ones are
+/// the smallest empty engines. Returns their placement and the remaining engines.
 fn extra_heads(
     shape: &ModelShape,
     mut engines: Vec<PlannedEngine>,
 ) -> (Placement, Vec<PlannedEngine>) {
     let free_mb = memory(&engines) - shape.model_mb();
-    let wanted = first_engines_wanted(shape, free_mb) - 1;
+    let wanted = wanted_first_engines(shape, free_mb) - 1;
     let mut heads = Placement::new();
-    // The one that holds most of the first layers is the chain's own.
+    // The first engine with the most layers is the chain's own.
     let is_head = |engine: &PlannedEngine| !engine.held.is_empty() && engine.held.from == 0;
     engines.sort_by_key(|engine| (is_head(engine), std::cmp::Reverse(engine.held.len())));
     while heads.len() < wanted && engines.iter().filter(|engine| is_head(engine)).count() > 1 {
@@ -188,43 +190,43 @@
     (heads, engines)
 }
 
-/// The layers of each engine of the chain.
+/// Plans the layers of each engine of a chain.
 fn plan_chain(
     shape: &ModelShape,
     engines: Vec<PlannedEngine>,
     weights: Weights,
 ) -> Option<Placement> {
-    let is_first = engines.iter().all(|engine| engine.held.is_empty());
-    let ordered = in_order(shape, engines, weights);
-    if is_first {
-        let (plan, _) = divide_evenly(shape, &seen(&ordered))?;
+    let is_new = engines.iter().all(|engine| engine.held.is_empty());
+    let ordered = chain_order(shape, engines, weights);
+    if is_new {
+        let (plan, _) = divide_balanced(shape, &chain_engines(&ordered))?;
         return Some(placement(&ordered, &plan.ranges));
     }
     if weights == Weights::BALANCE
-        && let Some((plan, weights)) = divide_evenly(shape, &seen(&ordered))
+        && let Some((plan, weights)) = divide_balanced(shape, &chain_engines(&ordered))
     {
         return Some(keep_or_move(shape, &ordered, plan, weights));
     }
-    let plan = divide(shape, &seen(&ordered), weights);
+    let plan = divide(shape, &chain_engines(&ordered), weights);
     let moving = Weights { keeps_held: false, ..weights };
-    let scarce = Weights { least_requests: Weights::BALANCE.least_requests, ..weights };
+    let scarce = Weights { min_requests: Weights::BALANCE.min_requests, ..weights };
     let any = Weights { keeps_held: false, ..scarce };
     let plan = plan
-        .or_else(|| divide(shape, &seen(&ordered), moving))
-        .or_else(|| divide(shape, &seen(&ordered), scarce))
+        .or_else(|| divide(shape, &chain_engines(&ordered), moving))
+        .or_else(|| divide(shape, &chain_engines(&ordered), scarce))
         .or_else(|| divide(shape, &unpinned(&ordered), any))?;
     Some(keep_or_move(shape, &ordered, plan, Weights::BALANCE))
 }
 
-/// The layers of a chain's engines where none gives layers up and all keep much room.
+/// Plans the layers of a chain's engines so that none releases layers and all keep ample capacity.
 fn plan_growth(shape: &ModelShape, engines: Vec<PlannedEngine>) -> Option<Placement> {
-    let ordered = in_order(shape, engines, Weights::REPAIR);
-    let plan = divide(shape, &seen(&ordered), Weights::REPAIR)?;
+    let ordered = chain_order(shape, engines, Weights::REPAIR);
+    let plan = divide(shape, &chain_engines(&ordered), Weights::REPAIR)?;
     Some(placement(&ordered, &plan.ranges))
 }
 
-/// The engines in the order of their layers, and each empty one where the chain gains most.
-fn in_order(
+/// Sorts engines by their layers, with each empty one where it reduces the cost of the chain most.
+fn chain_order(
     shape: &ModelShape,
     engines: Vec<PlannedEngine>,
     weights: Weights,
@@ -237,12 +239,15 @@
     if chain.is_empty() { new } else { with_new_engines(shape, chain, new, weights) }
 }
 
-/// The engines as if each would take an order.
+/// Returns the engines as if all accepted orders.
 fn unpinned(engines: &[PlannedEngine]) -> Vec<ChainEngine> {
-    seen(engines).into_iter().map(|engine| ChainEngine { is_pinned: false, ..engine }).collect()
+    chain_engines(engines)
+        .into_iter()
+        .map(|engine| ChainEngine { is_pinned: false, ..engine })
+        .collect()
 }
 
-/// At most as many engines as a path may have parts, those with the most memory.
+/// Returns the engines with the most memory, at most as many as a path may have parts.
 fn largest(engines: &[PlannedEngine]) -> Vec<PlannedEngine> {
     let mut engines = engines.to_vec();
     engines.sort_by(|a, b| {
@@ -252,7 +257,7 @@
     engines
 }
 
-/// Puts each empty engine where the chain gains most.
+/// Inserts each empty engine where it reduces the cost of the chain most.
 fn with_new_engines(
     shape: &ModelShape,
     mut chain: Vec<PlannedEngine>,
@@ -263,7 +268,7 @@
         let cost_at = |position: usize| {
             let mut tried = chain.clone();
             tried.insert(position, engine.clone());
-            divide(shape, &seen(&tried), weights).map_or(f64::INFINITY, |plan| plan.cost)
+            divide(shape, &chain_engines(&tried), weights).map_or(f64::INFINITY, |plan| plan.cost)
         };
         let costs: Vec<f64> = (0..=chain.len()).map(cost_at).collect();
         let best = (0..costs.len()).min_by(|a, b| costs[*a].total_cmp(&costs[*b]));
@@ -272,7 +277,8 @@
     chain
 }
 
-/// The plan, or what is held now if that is whole and the plan gains too little.
+/// Returns the planned layers, or the current ones if they are complete and the plan reduces the cost too
+/// little.
 fn keep_or_move(
     shape: &ModelShape,
     chain: &[PlannedEngine],
@@ -280,14 +286,14 @@
     weights: Weights,
 ) -> Placement {
     let held: Vec<LayerRange> = chain.iter().map(|engine| engine.held).collect();
-    let now = cost_of(shape, &seen(chain), &held, weights);
-    if covers(shape, chain) && plan.cost > now * WORTH_MOVING {
+    let now = cost_of(shape, &chain_engines(chain), &held, weights);
+    if covers(shape, chain) && plan.cost > now * MAX_MOVE_COST {
         return placement(chain, &held);
     }
     placement(chain, &plan.ranges)
 }
 
-fn seen(engines: &[PlannedEngine]) -> Vec<ChainEngine> {
+fn chain_engines(engines: &[PlannedEngine]) -> Vec<ChainEngine> {
     engines.iter().map(PlannedEngine::in_chain).collect()
 }
 
--- a/crates/routing/src/process/placement/transition.rs
+++ b/crates/routing/src/process/placement/transition.rs
@@ -1,36 +1,36 @@
-//! The next step from the layers that are held to those that are planned.
+//! The next steps from the current layers of engines to the planned ones.
 
 use crate::process::placement::Placement;
 use crate::process::{Incarnation, LayerRange};
 use std::collections::BTreeMap;
 
-/// What an engine holds while layers move.
+/// The layers of an engine during a transition.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Holding {
-    /// The layers that it can run now.
+    /// The layers that it can run.
     pub ready: LayerRange,
-    /// The most layers that it may hold for a while.
+    /// Maximum number of layers that it may hold temporarily.
     pub most_layers: u32,
-    /// An order is under way: it takes no other.
+    /// Whether it is executing an order, and accepts no other.
     pub is_busy: bool,
 }
 
-/// What one engine is to hold next.
+/// The next order for an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// The engine, in the incarnation that takes the order.
+    /// The engine, in the incarnation that receives the order.
     pub incarnation: Incarnation,
-    /// Requests wait for it: no whole chain exists.
+    /// Whether requests wait for it, as no complete chain exists.
     pub is_urgent: bool,
     /// The layers to order.
     pub layers: LayerRange,
-    /// Layers are given up that requests use: these must stop to do so first.
+    /// Whether it releases layers in use: requests must stop using them first.
     pub gives_up: bool,
 }
 
-/// The orders that bring the engines of a data centre nearer to the plan now. Layers are given up
-/// once another engine runs them, unless they are of no use as no whole chain exists. `is_idle`: no
-/// streams pass through the chain.
+/// Returns the orders to issue now to bring the engines of a data centre closer to the plan. Layers are
+/// released only after another engine runs them, unless they are of no use because no complete chain
+/// exists. `is_idle` states that no streams pass through the chain.
 pub fn next_steps(
     plan: &Placement,
     holdings: &BTreeMap<Incarnation, Holding>,
@@ -45,9 +45,9 @@
             continue;
         }
         let next = match is_served {
-            true => careful(incarnation, *want, holding, holdings, plan),
+            true => next_when_served(incarnation, *want, holding, holdings, plan),
             false if is_idle => Some(*want),
-            false => Some(growing(*want, holding)),
+            false => Some(next_when_unserved(*want, holding)),
         };
         let Some(next) = next.filter(|next| *next != holding.ready) else { continue };
         let gives_up = is_served && holding.ready.overlap(next) < holding.ready.len();
@@ -61,27 +61,27 @@
     steps
 }
 
-/// What an engine takes while requests wait: it keeps what it holds if that fits, as giving layers
-/// up takes seconds.
-fn growing(want: LayerRange, holding: &Holding) -> LayerRange {
+/// Returns the layers of an engine while requests wait: it keeps its current ones if all fit, as
+/// releasing layers takes seconds.
+fn next_when_unserved(want: LayerRange, holding: &Holding) -> LayerRange {
     let both = holding.ready.hull(want);
     if both.len() <= holding.most_layers { both } else { want }
 }
 
-/// What an engine may hold next without taking a layer away that only it runs.
-fn careful(
+/// Returns the layers that an engine may hold next without releasing one that no other engine keeps.
+fn next_when_served(
     incarnation: &Incarnation,
     want: LayerRange,
     holding: &Holding,
     holdings: &BTreeMap<Incarnation, Holding>,
     plan: &Placement,
 ) -> Option<LayerRange> {
-    // Another that holds the layer but is to give it up as well is no reason to give it up.
-    let stays = |layer: u32| {
+    // Other holders count only if the plan lets them keep the layer.
+    let is_kept_elsewhere = |layer: u32| {
         let mut others = holders_of(holdings, layer).filter(|other| *other != incarnation);
         others.any(|other| plan.get(other).is_some_and(|range| range.contains(layer)))
     };
-    let must_keep = |layer: &u32| want.contains(*layer) || !stays(*layer);
+    let must_keep = |layer: &u32| want.contains(*layer) || !is_kept_elsewhere(*layer);
     let kept: Vec<u32> = (holding.ready.from..holding.ready.to).filter(must_keep).collect();
     let kept = match (kept.first(), kept.last()) {
         (Some(first), Some(last)) => LayerRange::new(*first, last + 1),
@@ -94,16 +94,16 @@
     if both.len() <= holding.most_layers {
         return Some(both);
     }
-    let least = kept.hull(want);
-    if least.len() <= holding.most_layers {
-        return Some(least);
+    let minimal = kept.hull(want);
+    if minimal.len() <= holding.most_layers {
+        return Some(minimal);
     }
-    grown_in_part(kept, want, holding.most_layers)
+    extend_partially(kept, want, holding.most_layers)
 }
 
-/// As many layers towards `want` beside `kept` as fit; nothing if none does.
-fn grown_in_part(kept: LayerRange, want: LayerRange, most: u32) -> Option<LayerRange> {
-    let free = most.saturating_sub(kept.len());
+/// Extends `kept` by as many layers towards `want` as fit. Returns `None` if none does.
+fn extend_partially(kept: LayerRange, want: LayerRange, max_layers: u32) -> Option<LayerRange> {
+    let free = max_layers.saturating_sub(kept.len());
     let down = kept.from.saturating_sub(want.from).min(free);
     let up = want.to.saturating_sub(kept.to).min(free - down);
     (down + up > 0).then(|| LayerRange::new(kept.from - down, kept.to + up))
--- a/crates/routing/tests/placement.rs
+++ b/crates/routing/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: memory, coverage, few loads, and a differential test against an exact solver.
+//! Tests memory, coverage and number of loads of placements, and compares divisions with an exact solver.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use quickcheck::{TestResult, quickcheck};
 use sorrellock_routing::process::placement::{
     ChainEngine, ChainPlan, Holding, Placement, PlannedEngine, Weights, cost_of, covers, divide,
-    divide_evenly, next_steps, plan_data_centre, step_of,
+    divide_balanced, next_steps, plan_data_centre, step_time_factor,
 };
 use sorrellock_routing::process::{Incarnation, LayerRange};
 use sorrellock_routing::version::ModelShape;
@@ -120,11 +120,11 @@
     assert!(steps.iter().all(|step| step.incarnation != spare.incarnation), "{steps:?}");
 }
 
-/// Least room for each layer, in MB, and time of a step of a division by these weights of a step's time.
+/// Returns the minimum capacity per layer, in MB, and the step time factor of a division.
 fn room_and_step(shape: &ModelShape, engines: &[ChainEngine], plan: &ChainPlan) -> (f64, f64) {
     let holding = engines.iter().zip(&plan.ranges).filter(|(_, range)| !range.is_empty());
     let room = holding.map(|(one, range)| one.memory_mb / f64::from(range.len()) - shape.layer_mb);
-    (room.fold(f64::INFINITY, f64::min), step_of(shape, engines, plan))
+    (room.fold(f64::INFINITY, f64::min), step_time_factor(shape, engines, plan))
 }
 
 fn in_chain(engines: &[PlannedEngine]) -> Vec<ChainEngine> {
@@ -137,7 +137,7 @@
     let engines = in_chain(&empty_engines(&shape, &[("h100", 5), ("l4", 10)]));
     let by_memory = divide(&shape, &engines, Weights::BALANCE).expect("the memory is enough");
 
-    let (plan, _) = divide_evenly(&shape, &engines).expect("the memory is enough");
+    let (plan, _) = divide_balanced(&shape, &engines).expect("the memory is enough");
 
     let (_, slow) = room_and_step(&shape, &engines, &by_memory);
     let (_, fast) = room_and_step(&shape, &engines, &plan);
@@ -150,7 +150,7 @@
     let engines = in_chain(&empty_engines(&shape, &[("a100", 1), ("l4", 9), ("t4", 4)]));
     let by_memory = divide(&shape, &engines, Weights::BALANCE).expect("the memory is enough");
 
-    let (plan, _) = divide_evenly(&shape, &engines).expect("the memory is enough");
+    let (plan, _) = divide_balanced(&shape, &engines).expect("the memory is enough");
 
     let (wide, _) = room_and_step(&shape, &engines, &by_memory);
     let (room, _) = room_and_step(&shape, &engines, &plan);
@@ -213,7 +213,7 @@
     engines.iter().map(|one| (one.incarnation.clone(), holding(one))).collect()
 }
 
-/// The least cost over all divisions, tried one by one.
+/// Returns the minimum cost over all divisions by trying each one.
 fn exact(
     shape: &ModelShape,
     engines: &[ChainEngine],
@@ -235,7 +235,7 @@
 }
 
 quickcheck! {
-    /// The division costs what the best of all divisions costs.
+    /// The division has the minimum cost of all divisions.
     fn a_division_is_as_good_as_an_exact_solver(memory: Vec<u8>, held: Vec<u8>) -> TestResult {
         let shape = shape(7);
         let engines: Vec<ChainEngine> = memory.iter().take(4).enumerate().map(|(index, memory)| {
@@ -258,7 +258,7 @@
         })
     }
 
-    /// While layers move from one plan to another, a whole chain stays whole at each step.
+    /// A complete chain stays complete at each step from one plan to another.
     fn moves_of_a_whole_chain_never_uncover_a_layer(cuts: (u8, u8), to: (u8, u8)) -> bool {
         let ranges = |(a, b): (u8, u8)| {
             let (a, b) = (u32::from(a % 13), u32::from(b % 13));
