--- a/crates/routing/tests/chains.rs
+++ b/crates/routing/tests/chains.rs
@@ -1,4 +1,5 @@
-//! Chains: as many as memory allows, each whole, and the same for whoever looks at them.
+//! Tests that a data centre gets as many chains as memory allows, that each covers the model, and that
+//! leads with different knowledge find the same chains.
 
 mod common;
 
@@ -11,12 +12,12 @@
 use sorrellock_routing::version::ModelShape;
 use std::collections::BTreeSet;
 
-/// Requests that need half of the memory that they need in the smaller deployments.
+/// A model whose requests need about half of the memory that those of [`shape`] need.
 fn light_shape() -> ModelShape {
     ModelShape { kv_token_bytes: 328_000.0, ..shape(80) }
 }
 
-/// Engines with memory for two chains.
+/// Returns engines with memory for two chains.
 fn two_chains_of_engines(shape: &ModelShape) -> Vec<PlannedEngine> {
     empty_engines(shape, &[("h100", 1), ("a100", 1), ("l4", 8), ("t4", 11)])
 }
@@ -25,7 +26,7 @@
     plan_data_centre(shape, engines, false).expect("the memory is enough")
 }
 
-/// The engines as they are once a plan is carried out, as a lead sees them that knows no chains.
+/// Returns the engines after a plan is carried out, as seen by a lead that knows no chains.
 fn placed(engines: &[PlannedEngine], plan: &DataCentrePlan) -> Vec<PlannedEngine> {
     let moved = |one: &PlannedEngine| PlannedEngine {
         held: plan.placement[&one.incarnation],
@@ -35,7 +36,7 @@
     engines.iter().map(moved).collect()
 }
 
-/// The same, as the lead sees them that made the plan.
+/// Returns the engines after a plan is carried out, as seen by the lead that made the plan.
 fn known(engines: &[PlannedEngine], plan: &DataCentrePlan) -> Vec<PlannedEngine> {
     let known =
         |one: PlannedEngine| PlannedEngine { chain: Some(plan.chains[&one.incarnation]), ..one };
@@ -118,7 +119,7 @@
     let engines = two_chains_of_engines(&shape);
     let first = plan(&shape, &engines);
     let mut moving = known(&engines, &first);
-    // Half way through, an engine holds old and new layers.
+    // In the middle of a transition, an engine holds old and new layers.
     moving[5].held.to = (moving[5].held.to + 5).min(80);
 
     let chains = divide_into_chains(&shape, &moving);
@@ -129,7 +130,7 @@
 }
 
 #[test]
-fn a_chain_with_too_little_memory_is_helped_by_the_other() {
+fn a_chain_with_too_little_memory_gets_engines_of_the_other() {
     let shape = light_shape();
     let engines = two_chains_of_engines(&shape);
     let first = plan(&shape, &engines);
@@ -184,7 +185,7 @@
 }
 
 quickcheck! {
-    /// Each engine is in one chain, whatever they hold.
+    /// Each engine is in exactly one chain, whatever layers the engines hold.
     fn each_engine_is_in_one_chain(held: Vec<(u8, u8)>) -> bool {
         let shape = light_shape();
         let engines: Vec<PlannedEngine> = held.iter().take(24).enumerate().map(|(index, held)| {
--- a/crates/routing/tests/knowledge_eras/fleet.rs
+++ b/crates/routing/tests/knowledge_eras/fleet.rs
@@ -1,8 +1,8 @@
-//! Gateways that learn of endpoints from a store and from each other, on simulated time in ms.
+//! A simulated fleet: gateways learn about endpoints from a store and from each other. Times are in ms.
 
 use crate::common::endpoint;
-use crate::course::{Course, Event};
-use crate::gateway::{Gateway, OnTheWay};
+use crate::gateway::{Gateway, InFlight};
+use crate::scenario::{Event, Scenario};
 use crate::store::Store;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -10,35 +10,36 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// One step.
+/// Length of a simulation step.
 const STEP: u64 = 50;
-/// How often an endpoint writes its entry.
+/// Interval at which an endpoint writes its entry.
 const HEARTBEAT: u64 = 1_200;
-/// How long an endpoint that leaves goes on.
-const LEAVES_FOR: u64 = 3_000;
-/// How often the store keeps a copy.
+/// How long a leaving endpoint keeps running.
+const LEAVING_TIME: u64 = 3_000;
+/// Interval at which the store saves a copy.
 const COPY_EVERY: u64 = 500;
-/// How long another gateway may know more before it is asked.
-const BEHIND_PATIENCE: u64 = 300;
+/// How long a gateway may be behind another one before it requests a handover.
+const HANDOVER_DELAY: u64 = 300;
 
-/// How an endpoint really is.
+/// The actual state of an endpoint, which gateways learn with a delay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Truth {
+enum ServerState {
     Ready,
-    /// It ends at that time; whether its entry says so.
-    Leaves(u64, bool),
+    /// Leaves and ends at this time; `true` if its entry says that it is leaving.
+    Leaving(u64, bool),
     Ended,
 }
 
 struct Server {
     endpoint: Endpoint,
-    truth: Truth,
+    state: ServerState,
     next_write: u64,
-    /// The store's revision as it began to leave or ended: who knows less may yet learn that it was ready.
+    /// The store's revision when the endpoint began to leave or ended. A gateway at an earlier revision may
+    /// still learn that it was ready.
     ends_after: Revision,
 }
 
-/// A fleet on its course.
+/// A fleet in which a scenario runs.
 pub struct Fleet {
     store: Store,
     servers: BTreeMap<String, Server>,
@@ -46,13 +47,13 @@
     rng: SmallRng,
     began: Instant,
     now: u64,
-    away_until: u64,
-    /// The store comes back then from its copy of so many ms ago.
-    comes_back: Option<(u64, u64)>,
+    store_down_until: u64,
+    /// When the store is restored, and the age of the copy at that time.
+    restore_due: Option<(u64, u64)>,
 }
 
 impl Fleet {
-    /// Four endpoints, known to all gateways.
+    /// Creates a fleet with four endpoints.
     pub fn new(gateways: usize, seed: u64) -> Fleet {
         let began = Instant::now();
         let mut fleet = Fleet {
@@ -62,20 +63,21 @@
             rng: SmallRng::seed_from_u64(seed),
             began,
             now: 0,
-            away_until: 0,
-            comes_back: None,
+            store_down_until: 0,
+            restore_due: None,
         };
         (0..4).for_each(|_| fleet.join());
         fleet
     }
 
-    /// Plays a course and some seconds more; what went wrong.
-    pub fn play(course: &Course) -> Result<(), String> {
-        let mut fleet = Fleet::new(course.gateways, course.seed);
+    /// Runs a scenario, some seconds before its first and after its last event. Returns the violated
+    /// property.
+    pub fn run_scenario(scenario: &Scenario) -> Result<(), String> {
+        let mut fleet = Fleet::new(scenario.gateways, scenario.seed);
         fleet.run(6_000)?;
-        for (wait, event) in &course.events {
+        for (wait, event) in &scenario.events {
             fleet.run(*wait)?;
-            fleet.take(*event);
+            fleet.apply_event(*event);
         }
         fleet.run(16_000)?;
         fleet.check_agreement()
@@ -86,37 +88,41 @@
         let endpoint = endpoint(&id, None);
         let next_write = self.now;
         let ends_after = Revision::default();
-        let server = Server { endpoint, truth: Truth::Ready, next_write, ends_after };
+        let server = Server { endpoint, state: ServerState::Ready, next_write, ends_after };
         self.servers.insert(id, server);
     }
 
-    /// Lets something happen.
-    pub fn take(&mut self, event: Event) {
+    /// Applies an event.
+    pub fn apply_event(&mut self, event: Event) {
         let now = self.now;
         let at = |index: usize| format!("endpoint-{index}");
         match event {
-            Event::Joins => self.join(),
-            Event::Leaves(index) => self.end(&at(index), Truth::Leaves(now + LEAVES_FOR, true)),
-            Event::LeavesUnsaid(index) => {
-                self.end(&at(index), Truth::Leaves(now + LEAVES_FOR, false));
+            Event::Join => self.join(),
+            Event::Leave(index) => {
+                self.end(&at(index), ServerState::Leaving(now + LEAVING_TIME, true))
             }
-            Event::Dies(index) => self.end(&at(index), Truth::Ended),
-            Event::LosesStore { index, lasts } => {
+            Event::LeaveUnannounced(index) => {
+                self.end(&at(index), ServerState::Leaving(now + LEAVING_TIME, false));
+            }
+            Event::Crash(index) => self.end(&at(index), ServerState::Ended),
+            Event::StoreUnreachable { index, duration } => {
                 if let Some(server) = self.servers.get_mut(&at(index)) {
-                    server.next_write = now + lasts;
+                    server.next_write = now + duration;
                 }
             }
-            Event::IsAway(away) => self.away_until = self.away_until.max(now + away),
-            Event::ComesBack { away, ago } => {
-                self.away_until = self.away_until.max(now + away);
-                self.comes_back = Some((self.away_until, ago));
+            Event::StoreOutage(outage) => {
+                self.store_down_until = self.store_down_until.max(now + outage)
+            }
+            Event::StoreRestore { outage, copy_age } => {
+                self.store_down_until = self.store_down_until.max(now + outage);
+                self.restore_due = Some((self.store_down_until, copy_age));
             }
-            Event::IsCut { gateway, lasts } => {
+            Event::GatewayCutOff { gateway, duration } => {
                 if let Some(gateway) = self.gateways.get_mut(gateway) {
-                    gateway.cut_until = now + lasts;
+                    gateway.cut_until = now + duration;
                 }
             }
-            Event::Starts(gateway) => {
+            Event::GatewayRestart(gateway) => {
                 if let Some(gateway) = self.gateways.get_mut(gateway) {
                     *gateway = Gateway::new();
                 }
@@ -124,20 +130,20 @@
         }
     }
 
-    fn end(&mut self, id: &str, truth: Truth) {
+    fn end(&mut self, id: &str, state: ServerState) {
         if let Some(server) = self.servers.get_mut(id)
-            && server.truth == Truth::Ready
+            && server.state == ServerState::Ready
         {
-            server.truth = truth;
-            server.endpoint.is_leaving = matches!(truth, Truth::Leaves(_, true));
+            server.state = state;
+            server.endpoint.is_leaving = matches!(state, ServerState::Leaving(_, true));
             server.next_write = self.now;
             server.ends_after = self.store.at();
         }
     }
 
-    /// Runs for a while.
-    pub fn run(&mut self, lasts: u64) -> Result<(), String> {
-        let end = self.now + lasts;
+    /// Runs the simulation for `duration`.
+    pub fn run(&mut self, duration: u64) -> Result<(), String> {
+        let end = self.now + duration;
         while self.now < end {
             self.now += STEP;
             self.run_store();
@@ -153,16 +159,16 @@
         Ok(())
     }
 
-    fn is_away(&self) -> bool {
-        self.now < self.away_until
+    fn is_store_down(&self) -> bool {
+        self.now < self.store_down_until
     }
 
     fn run_store(&mut self) {
         let now = self.now;
-        if let Some((_, ago)) = self.comes_back.take_if(|(at, _)| *at <= now) {
-            self.store.come_back(ago, now);
+        if let Some((_, copy_age)) = self.restore_due.take_if(|(at, _)| *at <= now) {
+            self.store.restore(copy_age, now);
         }
-        if self.is_away() {
+        if self.is_store_down() {
             return;
         }
         if now.is_multiple_of(COPY_EVERY) {
@@ -173,52 +179,52 @@
         }
         for server in self.servers.values_mut().filter(|server| server.next_write <= now) {
             server.next_write = now + HEARTBEAT;
-            match server.truth {
-                Truth::Ready => self.store.write(&server.endpoint, now),
-                Truth::Leaves(until, true) if now < until => {
+            match server.state {
+                ServerState::Ready => self.store.write(&server.endpoint, now),
+                ServerState::Leaving(until, true) if now < until => {
                     self.store.write(&server.endpoint, now);
                 }
-                Truth::Leaves(until, false) if now < until => {
+                ServerState::Leaving(until, false) if now < until => {
                     self.store.remove(&server.endpoint.id);
                 }
-                Truth::Leaves(..) => {
-                    server.truth = Truth::Ended;
+                ServerState::Leaving(..) => {
+                    server.state = ServerState::Ended;
                     self.store.remove(&server.endpoint.id);
                 }
-                Truth::Ended => {}
+                ServerState::Ended => {}
             }
         }
         self.store.expire(now);
     }
 
     fn run_gateway(&mut self, index: usize) {
-        self.hear_others(index);
-        self.call(index);
+        self.sync_with_others(index);
+        self.call_store(index);
         let now = self.now;
         let gateway = &mut self.gateways[index];
-        let due: Vec<OnTheWay> =
-            gateway.on_the_way.extract_if(.., |one| one.comes <= now).collect();
+        let due: Vec<InFlight> =
+            gateway.in_flight.extract_if(.., |one| one.arrives_at <= now).collect();
         let (servers, instant) = (&self.servers, self.began + Duration::from_millis(now));
-        let leaves = |id: &str| matches!(servers[id].truth, Truth::Leaves(..));
+        let leaves = |id: &str| matches!(servers[id].state, ServerState::Leaving(..));
         due.into_iter().for_each(|one| gateway.take_answer(one, leaves, instant));
         gateway.knowledge.expire(instant);
         for id in gateway.knowledge.left_to_ask(instant) {
-            if self.servers[&id].truth == Truth::Ready {
+            if self.servers[&id].state == ServerState::Ready {
                 gateway.knowledge.note_well(&self.servers[&id].endpoint.incarnation());
             }
         }
     }
 
-    /// Asks the store; the answer may be late, or lost.
-    fn call(&mut self, index: usize) {
-        let (now, is_away) = (self.now, self.is_away());
+    /// Sends a request to the store. The answer may be late or lost.
+    fn call_store(&mut self, index: usize) {
+        let (now, is_store_down) = (self.now, self.is_store_down());
         let gateway = &mut self.gateways[index];
-        if now < gateway.next_call || is_away || now < gateway.cut_until {
+        if now < gateway.next_call || is_store_down || now < gateway.cut_until {
             return;
         }
         gateway.next_call = now + self.rng.random_range(100..400);
         let late = if self.rng.random_range(0..8) == 0 { 3_000 } else { 200 };
-        let comes = now + self.rng.random_range(0..late);
+        let arrives_at = now + self.rng.random_range(0..late);
         if self.rng.random_range(0..10) == 0 {
             return;
         }
@@ -226,11 +232,12 @@
             gateway.at = None;
         }
         let (at, answer) = self.store.answer(gateway.at);
-        gateway.on_the_way.push(OnTheWay { comes, asked_after: gateway.at, at, answer });
+        gateway.in_flight.push(InFlight { arrives_at, requested_after: gateway.at, at, answer });
     }
 
-    /// Hears of the era from the others, and is handed what they know more.
-    fn hear_others(&mut self, index: usize) {
+    /// Learns the latest era from the other gateways, and takes a handover from the most advanced one after
+    /// being behind for a while.
+    fn sync_with_others(&mut self, index: usize) {
         let era = self.gateways.iter().map(|gateway| gateway.known_era).max().unwrap_or_default();
         let (now, instant) = (self.now, self.instant());
         self.gateways[index].known_era = era;
@@ -245,7 +252,7 @@
             return;
         };
         let since = *self.gateways[index].behind_since.get_or_insert(now);
-        if now - since < BEHIND_PATIENCE {
+        if now - since < HANDOVER_DELAY {
             return;
         }
         let known_at = self.gateways[index].knowledge.endpoints_at();
@@ -254,7 +261,7 @@
         self.gateways[index].behind_since = None;
     }
 
-    /// Hears from the others what had left before the era.
+    /// Receives from the other gateways which endpoints left before the era.
     fn receive_left(&mut self, index: usize) {
         let instant = self.instant();
         for other in (0..self.gateways.len()).filter(|other| *other != index) {
@@ -268,13 +275,14 @@
         self.began + Duration::from_millis(self.now)
     }
 
-    /// Ids of the endpoints that a gateway gives new work.
+    /// Returns the ids of the endpoints that a gateway gives new work.
     fn open(&self, index: usize) -> BTreeSet<String> {
         let open = self.gateways[index].knowledge.open_endpoints(self.instant());
         open.map(|endpoint| endpoint.id.clone()).collect()
     }
 
-    /// What a gateway knows never goes back, and what it knew to leave gets nothing new.
+    /// Checks that a gateway's revision never decreases, and that endpoints it knew to be leaving get no new
+    /// work.
     fn check(&mut self, index: usize, before: Revision) -> Result<(), String> {
         let (now, open) = (self.now, self.open(index));
         let gateway = &mut self.gateways[index];
@@ -287,7 +295,7 @@
         }
         let known = gateway.knowledge.endpoints().map(|endpoint| endpoint.id.clone());
         gateway.known.extend(known);
-        let ended = self.servers.iter().filter(|(_, one)| one.truth != Truth::Ready);
+        let ended = self.servers.iter().filter(|(_, one)| one.state != ServerState::Ready);
         for (id, _) in ended.filter(|(_, one)| at >= one.ends_after) {
             let known = gateway.knowledge.endpoint(id);
             let is_left = known.is_none_or(|endpoint| endpoint.is_leaving);
@@ -298,15 +306,15 @@
         Ok(())
     }
 
-    /// What a gateway knew to have left before an era gets nothing new of any gateway that knows the endpoints in it. Where the endpoint
-    /// has written its entry in the era, that is news as any other.
+    /// Checks that an endpoint that some gateway knew to have left before an era gets no new work from any
+    /// gateway in that era, unless the endpoint has written its entry in the era.
     fn check_left_before_era(&self) -> Result<(), String> {
         for (index, gateway) in self.gateways.iter().enumerate() {
             let open = self.open(index);
             for other in self.gateways.iter().filter(|other| other.era() == gateway.era()) {
-                let is_news = |id: &&String| other.revision(id) > gateway.knowledge.endpoints_at();
-                let mut broken = open.intersection(&other.left_before_era);
-                if let Some(id) = broken.find(|id| !is_news(id)) {
+                let is_newer = |id: &&String| other.revision(id) > gateway.knowledge.endpoints_at();
+                let mut violations = open.intersection(&other.left_before_era);
+                if let Some(id) = violations.find(|id| !is_newer(id)) {
                     return Err(format!(
                         "{}: gateway {index} gives {id} work, which another one knew to have left before era {}",
                         self.now,
@@ -318,9 +326,9 @@
         Ok(())
     }
 
-    /// All gateways give work to those that are ready, and to no others.
+    /// Checks that all gateways give work to exactly the ready endpoints, and agree on the era.
     fn check_agreement(&self) -> Result<(), String> {
-        let ready = self.servers.iter().filter(|(_, one)| one.truth == Truth::Ready);
+        let ready = self.servers.iter().filter(|(_, one)| one.state == ServerState::Ready);
         let ready: BTreeSet<String> = ready.map(|(id, _)| id.clone()).collect();
         for index in 0..self.gateways.len() {
             let open = self.open(index);
--- a/crates/routing/tests/knowledge_eras/fuzz.rs
+++ b/crates/routing/tests/knowledge_eras/fuzz.rs
@@ -1,22 +1,23 @@
-//! Random courses of two and more eras: knowledge never goes back, what has left stays so, and all agree after the last one.
+//! Random scenarios over several eras: knowledge never goes back, endpoints that left stay so, and all
+//! gateways agree in the end.
 
-use crate::course::Course;
 use crate::fleet::Fleet;
+use crate::scenario::Scenario;
 use quickcheck::QuickCheck;
 
-/// Courses in a run of all tests.
-const COURSES: u64 = 1_500;
-/// The same by hand.
-const COURSES_LONG: u64 = 100_000;
+/// Number of scenarios in a normal test run.
+const SCENARIOS: u64 = 1_500;
+/// Number of scenarios in a long run.
+const LONG_SCENARIOS: u64 = 100_000;
 
 #[test]
-fn no_course_of_eras_leads_a_gateway_back_or_apart() {
+fn random_scenarios_keep_gateways_advancing_and_in_agreement() {
     let is_long = std::env::var_os("SORRELLOCK_FUZZ_LONG").is_some();
-    let courses = if is_long { COURSES_LONG } else { COURSES };
-    fn holds(course: Course) -> Result<(), String> {
-        Fleet::play(&course)
+    let scenarios = if is_long { LONG_SCENARIOS } else { SCENARIOS };
+    fn holds(scenario: Scenario) -> Result<(), String> {
+        Fleet::run_scenario(&scenario)
     }
 
-    let mut check = QuickCheck::new().tests(courses).max_tests(courses);
-    check.quickcheck(holds as fn(Course) -> Result<(), String>);
+    let mut check = QuickCheck::new().tests(scenarios).max_tests(scenarios);
+    check.quickcheck(holds as fn(Scenario) -> Result<(), String>);
 }
--- a/crates/routing/tests/knowledge_eras/gateway.rs
+++ b/crates/routing/tests/knowledge_eras/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway of the fleet: what it makes of answers and handovers.
+//! A simulated gateway, which applies answers of the store and handovers.
 
 use crate::store::{Answer, Change};
 use sorrellock_routing::process::knowledge::{Handover, Knowledge};
@@ -6,30 +6,29 @@
 use std::collections::{BTreeSet, HashSet};
 use std::time::{Duration, Instant};
 
-/// An answer on its way.
-pub struct OnTheWay {
-    pub comes: u64,
-    pub asked_after: Option<Revision>,
+/// An answer of the store in transit.
+pub struct InFlight {
+    pub arrives_at: u64,
+    pub requested_after: Option<Revision>,
     pub at: Revision,
     pub answer: Answer,
 }
 
-/// A gateway.
 pub struct Gateway {
     pub knowledge: Knowledge,
     pub known_era: StoreEra,
-    /// Where it watches on from; none: it lists first.
+    /// The revision that the next watch starts from; `None` if a list comes first.
     pub at: Option<Revision>,
     pub next_call: u64,
-    pub on_the_way: Vec<OnTheWay>,
-    /// Since when another one knows more.
+    pub in_flight: Vec<InFlight>,
+    /// Since when another gateway has been ahead.
     pub behind_since: Option<u64>,
     pub cut_until: u64,
-    /// Endpoints that it has known.
+    /// Endpoints that it has ever known.
     pub known: BTreeSet<String>,
-    /// Those of them that it has known to leave or to be gone, and that never came back.
+    /// Endpoints that it has known to be leaving or gone, and that were never ready again.
     pub known_left: BTreeSet<String>,
-    /// Those of them that it knew so before the present era.
+    /// Endpoints that were in `known_left` when the current era began.
     pub left_before_era: BTreeSet<String>,
     noted_era: StoreEra,
 }
@@ -41,7 +40,7 @@
             known_era: 0,
             at: None,
             next_call: 0,
-            on_the_way: Vec::new(),
+            in_flight: Vec::new(),
             behind_since: None,
             cut_until: 0,
             known: BTreeSet::new(),
@@ -51,18 +50,18 @@
         }
     }
 
-    /// The era in which it knows the endpoints.
+    /// Returns the era of the known endpoints.
     pub fn era(&self) -> StoreEra {
         self.knowledge.endpoints_at().era
     }
 
-    /// The revision of an endpoint's entry; the default one where none is known.
+    /// Returns the revision of an endpoint's entry, or the default if it is not known.
     pub fn revision(&self, id: &str) -> Revision {
         let mut known = self.knowledge.known_endpoints();
         known.find(|known| known.endpoint.id == id).map_or(Revision::default(), |one| one.revision)
     }
 
-    /// Keeps what it knew to have left as an era began.
+    /// Saves the endpoints known to have left when a new era begins.
     pub fn note_era(&mut self) {
         if self.noted_era != self.era() {
             self.noted_era = self.era();
@@ -70,14 +69,15 @@
         }
     }
 
-    /// Takes an answer of the store. An endpoint whose entry is missing is asked whether it `leaves`.
-    pub fn take_answer(&mut self, one: OnTheWay, leaves: impl Fn(&str) -> bool, now: Instant) {
-        let OnTheWay { asked_after, at, answer, .. } = one;
+    /// Applies an answer of the store. `leaves` stands for the health check of an endpoint whose entry is
+    /// missing.
+    pub fn take_answer(&mut self, one: InFlight, leaves: impl Fn(&str) -> bool, now: Instant) {
+        let InFlight { requested_after, at, answer, .. } = one;
         if at.era < self.known_era {
             return;
         }
         self.known_era = at.era;
-        if asked_after.is_some_and(|after| after.era != at.era) {
+        if requested_after.is_some_and(|after| after.era != at.era) {
             self.at = None;
             return;
         }
@@ -95,7 +95,7 @@
         leaves: impl Fn(&str) -> bool,
         now: Instant,
     ) {
-        self.go_on_from(at);
+        self.continue_from(at);
         let knowledge = &mut self.knowledge;
         if at <= knowledge.endpoints_at() {
             return;
@@ -120,7 +120,7 @@
         leaves: impl Fn(&str) -> bool,
         now: Instant,
     ) {
-        self.go_on_from(at);
+        self.continue_from(at);
         let knowledge = &mut self.knowledge;
         for Change { id, entry, count } in changes {
             let revision = Revision::new(at.era, count);
@@ -140,11 +140,11 @@
         knowledge.advance(at);
     }
 
-    fn go_on_from(&mut self, at: Revision) {
+    fn continue_from(&mut self, at: Revision) {
         self.at = Some(at.max(self.at.unwrap_or_default()));
     }
 
-    /// Takes what another gateway knows more.
+    /// Applies a handover of another gateway.
     pub fn take_handover(&mut self, handover: Handover, now: Instant) {
         let knowledge = &mut self.knowledge;
         let floor = Revision::new(handover.endpoints_at.era, handover.era_floor);
--- a/crates/routing/tests/knowledge_eras/main.rs
+++ b/crates/routing/tests/knowledge_eras/main.rs
@@ -1,10 +1,10 @@
-//! What gateways know of the endpoints where the store comes back from older copies of itself.
+//! Simulates what gateways know about endpoints while the store is restored from older copies of itself.
 
 #[path = "../common/mod.rs"]
 mod common;
-mod course;
 mod fleet;
 mod focused;
 mod fuzz;
 mod gateway;
+mod scenario;
 mod store;
--- a/crates/routing/tests/knowledge_eras/store.rs
+++ b/crates/routing/tests/knowledge_eras/store.rs
@@ -1,21 +1,21 @@
-//! A store with history that can come back from a copy, on simulated time in ms.
+//! A simulated store with a change history that can be restored from a copy. Times are in ms.
 
 use sorrellock_routing::process::{ChangeCount, Endpoint, Revision, StoreEra};
 use std::collections::BTreeMap;
 
-/// An entry is removed as its endpoint was silent for so long.
+/// How long after its last write an entry expires.
 const LEASE: u64 = 3_600;
 
-/// An entry, and the count of its last change.
+/// An entry with the count of its last change.
 #[derive(Clone)]
 pub struct Entry {
     pub endpoint: Endpoint,
     pub count: ChangeCount,
-    /// When its endpoint wrote last, whether that changed it or not.
+    /// Time of the last write, whether or not it changed the entry.
     renewed: u64,
 }
 
-/// A change: an entry, or its end.
+/// A change of an entry; `None` is a removal.
 #[derive(Clone)]
 pub struct Change {
     pub id: String,
@@ -30,103 +30,102 @@
     changes: Vec<Change>,
 }
 
-/// The store.
 #[derive(Default)]
 pub struct Store {
     pub era: StoreEra,
-    now: Contents,
-    /// Copies, and when they were made.
+    contents: Contents,
+    /// Copies with their times.
     copies: Vec<(u64, Contents)>,
 }
 
-/// What a gateway is told.
+/// An answer to a gateway.
 #[derive(Clone)]
 pub enum Answer {
     /// All entries.
     List(Vec<(Endpoint, ChangeCount)>),
     /// The changes since a count.
     Changes(Vec<Change>),
-    /// The history asked for is gone.
+    /// The requested history is no longer available.
     Gone,
 }
 
 impl Store {
-    /// An empty store in its first era.
+    /// Creates an empty store in its first era.
     pub fn new() -> Store {
         Store { era: 1, ..Store::default() }
     }
 
-    /// Keeps a copy from time to time.
+    /// Saves a copy of the contents.
     pub fn keep_copy(&mut self, now: u64) {
-        self.copies.push((now, self.now.clone()));
+        self.copies.push((now, self.contents.clone()));
     }
 
-    /// Comes back from its copy of so many ms ago, or the oldest one; leases begin anew.
-    pub fn come_back(&mut self, ago: u64, now: u64) {
-        let found = self.copies.iter().rev().find(|(at, _)| *at + ago <= now);
+    /// Restores the copy of `copy_age` ago, or else the oldest one, and renews all leases.
+    pub fn restore(&mut self, copy_age: u64, now: u64) {
+        let found = self.copies.iter().rev().find(|(at, _)| *at + copy_age <= now);
         let Some((_, copy)) = found.or(self.copies.first()) else { return };
         self.era += 1;
-        self.now = copy.clone();
-        self.now.entries.values_mut().for_each(|entry| entry.renewed = now);
+        self.contents = copy.clone();
+        self.contents.entries.values_mut().for_each(|entry| entry.renewed = now);
     }
 
-    /// An endpoint writes its entry, which changes only if it tells something else.
+    /// Writes an endpoint's entry. An identical entry is only renewed.
     pub fn write(&mut self, endpoint: &Endpoint, now: u64) {
-        if let Some(entry) = self.now.entries.get_mut(&endpoint.id)
+        if let Some(entry) = self.contents.entries.get_mut(&endpoint.id)
             && entry.endpoint == *endpoint
         {
             entry.renewed = now;
             return;
         }
-        self.now.count += 1;
-        let count = self.now.count;
+        self.contents.count += 1;
+        let count = self.contents.count;
         let entry = Entry { endpoint: endpoint.clone(), count, renewed: now };
-        self.now.entries.insert(endpoint.id.clone(), entry);
-        self.note(&endpoint.id, Some(endpoint.clone()));
+        self.contents.entries.insert(endpoint.id.clone(), entry);
+        self.record_change(&endpoint.id, Some(endpoint.clone()));
     }
 
-    /// An entry is removed.
+    /// Removes an entry.
     pub fn remove(&mut self, id: &str) {
-        if self.now.entries.remove(id).is_some() {
-            self.now.count += 1;
-            self.note(id, None);
+        if self.contents.entries.remove(id).is_some() {
+            self.contents.count += 1;
+            self.record_change(id, None);
         }
     }
 
-    /// Removes the entries of those that are silent.
+    /// Removes the expired entries.
     pub fn expire(&mut self, now: u64) {
-        let silent = self.now.entries.iter().filter(|(_, entry)| now - entry.renewed >= LEASE);
+        let silent = self.contents.entries.iter().filter(|(_, entry)| now - entry.renewed >= LEASE);
         let silent: Vec<String> = silent.map(|(id, _)| id.clone()).collect();
         silent.iter().for_each(|id| self.remove(id));
     }
 
-    /// Something else is written.
+    /// Writes an unrelated object.
     pub fn write_other(&mut self) {
-        self.now.count += 1;
+        self.contents.count += 1;
     }
 
-    /// Its revision.
+    /// Returns the current revision.
     pub fn at(&self) -> Revision {
-        Revision::new(self.era, self.now.count)
+        Revision::new(self.era, self.contents.count)
     }
 
-    /// Answers a list, or a watch from `after`; with the revision that it is of.
+    /// Answers a list, or a watch from `after`. Returns the answer with its revision.
     pub fn answer(&self, after: Option<Revision>) -> (Revision, Answer) {
         let at = self.at();
         let Some(after) = after else {
-            let entries = self.now.entries.values();
+            let entries = self.contents.entries.values();
             let entries = entries.map(|entry| (entry.endpoint.clone(), entry.count)).collect();
             return (at, Answer::List(entries));
         };
-        if after.count > self.now.count {
+        if after.count > self.contents.count {
             return (at, Answer::Gone);
         }
-        let later = self.now.changes.iter().filter(|change| change.count > after.count);
+        let later = self.contents.changes.iter().filter(|change| change.count > after.count);
         (at, Answer::Changes(later.cloned().collect()))
     }
 
-    fn note(&mut self, id: &str, entry: Option<Endpoint>) {
-        let count = self.now.count;
-        self.now.changes.push(Change { id: id.to_owned(), entry, count });
+    fn record_change(&mut self, id: &str, entry: Option<Endpoint>) {
+        let count = self.contents.count;
+        self.contents.changes.push(Change { id: id.to_owned(), entry, count });
     }
 }
--- a/crates/routing/tests/lead_eras.rs
+++ b/crates/routing/tests/lead_eras.rs
@@ -1,27 +1,28 @@
-//! All courses of two and three gateways that take the lead's object in a store that comes back from older copies of itself.
+//! Explores all interleavings of two and three gateways that take the lead's object in a store that is
+//! restored from older copies of itself.
 //!
-//! Each state holds the store, its copy, what each gateway is doing, and the calls that are under way; every order of reads, writes,
-//! lost and late answers, restores and news of an era is tried, up to a number of eras and changes. A take that is written later must have
-//! the higher term, so that no two gateways ever hold the same one.
+//! A state holds the store, its copy, the phase of each gateway, and the calls in flight. Every order of
+//! reads, writes, lost and late answers, restores and era updates is explored, up to a maximum number of
+//! eras and changes. A later take must get a higher term, so that no two gateways ever hold the same one.
 
 use sorrellock_routing::process::{LeadRecord, LeadTerm, Revision};
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The most states that are explored: some hundred bytes each while they wait.
+/// Maximum number of states to explore; each takes a few hundred bytes while it is queued.
 const MAX_STATES: usize = 30_000_000;
 
-/// What is explored.
+/// Limits of an exploration.
 #[derive(Clone, Copy)]
 struct Bounds {
     gateways: u8,
     eras: u8,
     changes: u8,
-    /// Whether terms hold the era; without it they are the bare count.
-    is_era_told: bool,
+    /// Whether terms contain the era; otherwise they are the count alone.
+    terms_have_era: bool,
 }
 
-/// The lead's object: whom it names, how often it was taken, and the count of its last change.
+/// The lead's object: the gateway that it names, how often it was taken, and the count of its last change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Object {
     by: u8,
@@ -42,24 +43,24 @@
     lead: Option<Object>,
 }
 
-/// A write under the condition that the object is as it was read.
+/// A write on condition that the object is unchanged since it was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Write {
     by: u8,
-    /// Where the object was read, if there was one.
+    /// Era and count at which the object was read, if there was one.
     read: Option<(u8, u8)>,
     takes: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    /// It doesn't lead.
-    Follows,
-    /// It has read the object, or that there is none, and writes next.
+    /// It is not the lead.
+    Following,
+    /// It has read the object, or found none, and writes next.
     HasRead(Write),
-    /// Its write is under way.
-    Waits,
-    Leads(u8, u8),
+    /// It waits for the answer to its write.
+    Waiting,
+    Leading(u8, u8),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -74,39 +75,39 @@
     store: Contents,
     copy: Contents,
     gateways: Vec<Gateway>,
-    /// Writes that are carried out later, or never; whether their answer is waited for.
-    under_way: BTreeSet<(Write, bool)>,
-    /// Answers under way: for whom, and with which revision.
+    /// Writes in flight, and whether the gateway waits for their answer.
+    in_flight: BTreeSet<(Write, bool)>,
+    /// Answers in flight: gateway, era and count.
     answers: BTreeSet<(u8, u8, u8)>,
-    /// The highest term that was granted by a write so far.
-    highest: (u8, u8),
+    /// The highest term granted so far.
+    highest_term: (u8, u8),
 }
 
 impl State {
     fn new(bounds: Bounds) -> State {
-        let gateway = || Gateway { known_era: 1, phase: Phase::Follows };
+        let gateway = || Gateway { known_era: 1, phase: Phase::Following };
         State {
             era: 1,
             store: Contents::default(),
             copy: Contents::default(),
             gateways: (0..bounds.gateways).map(|_| gateway()).collect(),
-            under_way: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
             answers: BTreeSet::new(),
-            highest: (0, 0),
+            highest_term: (0, 0),
         }
     }
 
-    /// All states that may follow, or what is broken.
+    /// Returns all successor states, or the violated property.
     fn next(&self, bounds: Bounds) -> Result<Vec<State>, String> {
         let mut next = Vec::new();
         self.change_store(bounds, &mut next);
         for by in 0..bounds.gateways {
             self.read(by, &mut next);
             self.write(by, &mut next);
-            self.hear(by, &mut next);
+            self.learn(by, &mut next);
         }
-        for (write, is_waited_for) in &self.under_way {
-            self.carry_out(*write, *is_waited_for, bounds, &mut next)?;
+        for (write, is_awaited) in &self.in_flight {
+            self.execute(*write, *is_awaited, bounds, &mut next)?;
         }
         for answer in &self.answers {
             self.take_answer(*answer, bounds, &mut next);
@@ -133,15 +134,15 @@
         }
     }
 
-    /// A gateway that wants the lead, or must take it again, reads the object.
+    /// Lets a gateway read the object if it wants the lead or must take it again.
     fn read(&self, by: u8, next: &mut Vec<State>) {
         let gateway = &self.gateways[usize::from(by)];
         let wants = match gateway.phase {
-            Phase::Follows => true,
-            Phase::Leads(era, count) => {
+            Phase::Following => true,
+            Phase::Leading(era, count) => {
                 lead_term(era, count).must_be_taken_again(gateway.known_era.into())
             }
-            Phase::HasRead(_) | Phase::Waits => false,
+            Phase::HasRead(_) | Phase::Waiting => false,
         };
         if !wants {
             return;
@@ -155,105 +156,105 @@
         next.push(state);
     }
 
-    /// It sends its write, and waits for the answer or gives it up.
+    /// Sends a gateway's write. The gateway waits for the answer or abandons the write.
     fn write(&self, by: u8, next: &mut Vec<State>) {
         let Phase::HasRead(write) = self.gateways[usize::from(by)].phase else { return };
-        for (phase, is_waited_for) in [(Phase::Waits, true), (Phase::Follows, false)] {
-            let is_one_late = self.under_way.iter().any(|(_, is_waited_for)| !is_waited_for);
-            if !is_waited_for && is_one_late {
-                // One write that comes late is enough to meet each condition.
+        for (phase, is_awaited) in [(Phase::Waiting, true), (Phase::Following, false)] {
+            let is_one_late = self.in_flight.iter().any(|(_, is_awaited)| !is_awaited);
+            if !is_awaited && is_one_late {
+                // A single late write is enough to reach every condition.
                 continue;
             }
             let mut state = self.clone();
-            state.under_way.insert((write, is_waited_for));
+            state.in_flight.insert((write, is_awaited));
             state.gateways[usize::from(by)].phase = phase;
             next.push(state);
         }
     }
 
-    /// The store carries a write out, if its condition holds by the count alone; the answer is under way, or lost.
-    fn carry_out(
+    /// Executes a write if its condition holds for the count alone. The answer is sent or lost.
+    fn execute(
         &self,
         write: Write,
-        is_waited_for: bool,
+        is_awaited: bool,
         bounds: Bounds,
         next: &mut Vec<State>,
     ) -> Result<(), String> {
         let mut state = self.clone();
-        state.under_way.remove(&(write, is_waited_for));
+        state.in_flight.remove(&(write, is_awaited));
         let found = state.store.lead.map(|lead| lead.count);
         let holds = found == write.read.map(|(_, count)| count);
         if !holds || state.store.count >= bounds.changes {
-            next.push(state.without_answer(write.by, is_waited_for));
+            next.push(state.without_answer(write.by, is_awaited));
             return Ok(());
         }
         state.store.count += 1;
         let count = state.store.count;
         state.store.lead = Some(Object { by: write.by, takes: write.takes, count });
-        next.push(state.clone().without_answer(write.by, is_waited_for));
-        // The adapter takes an answer of another era than that of the condition for none.
+        next.push(state.clone().without_answer(write.by, is_awaited));
+        // The adapter discards an answer from another era than that of the condition.
         let is_granted = write.read.is_none_or(|(era, _)| era == state.era);
-        if is_waited_for && is_granted {
+        if is_awaited && is_granted {
             let term = term(bounds, state.era, count);
-            if term <= state.highest {
-                return Err(format!("term {term:?} is granted after {:?}", state.highest));
+            if term <= state.highest_term {
+                return Err(format!("term {term:?} is granted after {:?}", state.highest_term));
             }
-            state.highest = term;
+            state.highest_term = term;
             state.answers.insert((write.by, state.era, count));
             next.push(state);
         }
         Ok(())
     }
 
-    /// A gateway's write has failed, or its answer is lost, if it waits for one.
-    fn without_answer(mut self, by: u8, is_waited_for: bool) -> State {
-        if is_waited_for {
-            self.gateways[usize::from(by)].phase = Phase::Follows;
+    /// Returns the state after a gateway's write failed or its answer was lost, if it waits for one.
+    fn without_answer(mut self, by: u8, is_awaited: bool) -> State {
+        if is_awaited {
+            self.gateways[usize::from(by)].phase = Phase::Following;
         }
         self
     }
 
-    /// The answer comes: the gateway leads, unless it knows of a later era.
+    /// Delivers an answer: the gateway leads unless it knows a later era.
     fn take_answer(&self, answer: (u8, u8, u8), bounds: Bounds, next: &mut Vec<State>) {
         let (by, era, count) = answer;
         let mut state = self.clone();
         state.answers.remove(&answer);
         let gateway = &mut state.gateways[usize::from(by)];
         if era < gateway.known_era {
-            gateway.phase = Phase::Follows;
+            gateway.phase = Phase::Following;
         } else {
             gateway.known_era = era;
             let (era, count) = term(bounds, era, count);
-            gateway.phase = Phase::Leads(era, count);
+            gateway.phase = Phase::Leading(era, count);
         }
         next.push(state);
     }
 
-    /// A gateway hears of the store's era, or of a lead with a higher term.
-    fn hear(&self, by: u8, next: &mut Vec<State>) {
+    /// Lets a gateway learn the store's era, or give way to a lead with a higher term.
+    fn learn(&self, by: u8, next: &mut Vec<State>) {
         let gateway = &self.gateways[usize::from(by)];
         if gateway.known_era < self.era {
             let mut state = self.clone();
             state.gateways[usize::from(by)].known_era = self.era;
             next.push(state);
         }
-        let Phase::Leads(era, count) = gateway.phase else { return };
+        let Phase::Leading(era, count) = gateway.phase else { return };
         let own = lead_term(era, count);
         let gives_way = self.gateways.iter().any(|other| match other.phase {
-            Phase::Leads(era, count) => own.gives_way_to(lead_term(era, count).revision()),
+            Phase::Leading(era, count) => own.gives_way_to(lead_term(era, count).revision()),
             _ => false,
         });
         if gives_way {
             let mut state = self.clone();
-            state.gateways[usize::from(by)].phase = Phase::Follows;
+            state.gateways[usize::from(by)].phase = Phase::Following;
             next.push(state);
         }
     }
 }
 
-/// A term as the gateways know it.
+/// Returns a term as the gateways know it.
 fn term(bounds: Bounds, era: u8, count: u8) -> (u8, u8) {
-    if bounds.is_era_told { (era, count) } else { (0, count) }
+    if bounds.terms_have_era { (era, count) } else { (0, count) }
 }
 
 fn lead_term(era: u8, count: u8) -> LeadTerm {
@@ -266,7 +267,7 @@
     hasher.finish()
 }
 
-/// Explores all states; how many there are, or what is broken and after how many steps.
+/// Explores all states. Returns their number, or the violated property and the number of steps to it.
 fn explore(bounds: Bounds) -> Result<usize, String> {
     let first = State::new(bounds);
     let mut seen = HashSet::from([fingerprint(&first)]);
@@ -285,9 +286,9 @@
     Ok(seen.len())
 }
 
-/// Explores with the era told, and asserts that nothing is broken.
+/// Asserts that no property is violated if terms contain the era.
 fn assert_holds(gateways: u8, eras: u8, changes: u8) {
-    let found = explore(Bounds { gateways, eras, changes, is_era_told: true });
+    let found = explore(Bounds { gateways, eras, changes, terms_have_era: true });
 
     println!("{gateways} gateways, {eras} eras, {changes} changes: {found:?} states");
     assert!(found.is_ok(), "{found:?}");
@@ -311,8 +312,8 @@
 }
 
 #[test]
-fn terms_without_the_era_are_held_twice() {
-    let bounds = Bounds { gateways: 2, eras: 2, changes: 3, is_era_told: false };
+fn terms_without_the_era_are_granted_twice() {
+    let bounds = Bounds { gateways: 2, eras: 2, changes: 3, terms_have_era: false };
 
     let found = explore(bounds);
 
--- a/crates/routing/tests/left_before_era.rs
+++ b/crates/routing/tests/left_before_era.rs
@@ -1,4 +1,4 @@
-//! Leaves of an era of the store that ended, as one gateway hears of them from another.
+//! Tests how a gateway applies departures of a previous store era that another gateway reports.
 
 mod common;
 
@@ -8,23 +8,23 @@
 use std::time::{Duration, Instant};
 
 const ID: &str = "endpoint-1";
-/// The revision of its entry in the copy.
+/// Revision of the endpoint's entry in the copy.
 const COPIED: Revision = Revision { era: 2, count: 3 };
-/// Up to where the copy goes.
-const RETURNED: Revision = Revision { era: 2, count: 5 };
-/// Far longer than an endpoint that had left waits to be asked.
+/// Revision that the copy reaches up to.
+const RESTORED: Revision = Revision { era: 2, count: 5 };
+/// Longer than the interval between health checks of an endpoint that left.
 const LATER: Duration = Duration::from_secs(4);
 
 fn left() -> Vec<Incarnation> {
     vec![Incarnation::new(ID, None)]
 }
 
-/// Knowledge of a gateway that started after the store came back: the copy's entry is all that it knows.
+/// Returns the knowledge of a gateway that started after the restore and knows only the copied entry.
 fn knowledge_of_the_copy(now: Instant) -> Knowledge {
     let mut knowledge = Knowledge::new(Duration::from_secs(2));
-    knowledge.begin_era(RETURNED, now);
+    knowledge.begin_era(RESTORED, now);
     knowledge.apply_endpoint(endpoint(ID, None), COPIED);
-    knowledge.advance(RETURNED);
+    knowledge.advance(RESTORED);
     knowledge
 }
 
@@ -37,28 +37,28 @@
     let now = Instant::now();
     let mut knowledge = knowledge_of_the_copy(now);
 
-    let news = knowledge.receive_left(&left(), RETURNED.era, now);
-    let again = knowledge.receive_left(&left(), RETURNED.era, now);
+    let newly_leaving = knowledge.receive_left(&left(), RESTORED.era, now);
+    let again = knowledge.receive_left(&left(), RESTORED.era, now);
 
-    assert_eq!((news, again), (left(), vec![]));
+    assert_eq!((newly_leaving, again), (left(), vec![]));
     assert!(!is_open(&knowledge, now));
     assert_eq!(knowledge.left_before_era(now + LATER), left());
 }
 
 #[test]
-fn a_leave_that_is_heard_of_before_the_list_binds_the_list() {
+fn a_departure_reported_before_the_list_applies_to_the_list() {
     let now = Instant::now();
     let mut knowledge = Knowledge::new(Duration::from_secs(2));
-    knowledge.begin_era(RETURNED, now);
+    knowledge.begin_era(RESTORED, now);
 
-    knowledge.receive_left(&left(), RETURNED.era, now);
+    knowledge.receive_left(&left(), RESTORED.era, now);
     knowledge.apply_endpoint(endpoint(ID, None), COPIED);
 
     assert!(!is_open(&knowledge, now));
 }
 
 #[test]
-fn a_leave_of_another_era_changes_nothing() {
+fn a_departure_of_another_era_changes_nothing() {
     let now = Instant::now();
     let mut knowledge = knowledge_of_the_copy(now);
 
@@ -73,70 +73,70 @@
 fn an_endpoint_that_wrote_its_entry_in_the_era_stays_open() {
     let now = Instant::now();
     let mut knowledge = knowledge_of_the_copy(now);
-    knowledge.apply_endpoint(endpoint(ID, None), Revision::new(2, RETURNED.count + 1));
+    knowledge.apply_endpoint(endpoint(ID, None), Revision::new(2, RESTORED.count + 1));
 
-    knowledge.receive_left(&left(), RETURNED.era, now);
+    knowledge.receive_left(&left(), RESTORED.era, now);
 
     assert!(is_open(&knowledge, now));
 }
 
 #[test]
-fn an_endpoint_in_another_life_than_the_one_that_left_stays_open() {
+fn an_endpoint_in_another_incarnation_than_the_one_that_left_stays_open() {
     let now = Instant::now();
     let mut knowledge = Knowledge::new(Duration::from_secs(2));
-    knowledge.begin_era(RETURNED, now);
+    knowledge.begin_era(RESTORED, now);
     knowledge.apply_endpoint(endpoint(ID, Some(7)), COPIED);
 
-    knowledge.receive_left(&[Incarnation::new(ID, Some(6))], RETURNED.era, now);
+    knowledge.receive_left(&[Incarnation::new(ID, Some(6))], RESTORED.era, now);
 
     assert!(is_open(&knowledge, now));
 }
 
 #[test]
-fn an_endpoint_that_is_well_is_opened_and_stays_so_though_others_still_tell_of_its_leave() {
+fn a_healthy_endpoint_is_opened_and_stays_so_while_others_report_its_departure() {
     let now = Instant::now();
     let mut knowledge = knowledge_of_the_copy(now);
-    knowledge.receive_left(&left(), RETURNED.era, now);
+    knowledge.receive_left(&left(), RESTORED.era, now);
 
-    let asked = knowledge.left_to_ask(now + LATER);
-    let is_news = knowledge.note_well(&Incarnation::new(ID, None));
-    let heard = knowledge.receive_left(&left(), RETURNED.era, now + LATER);
+    let probed = knowledge.left_to_ask(now + LATER);
+    let is_new = knowledge.note_well(&Incarnation::new(ID, None));
+    let received = knowledge.receive_left(&left(), RESTORED.era, now + LATER);
 
-    assert_eq!((asked, is_news, heard), (vec![ID.to_owned()], true, vec![]));
+    assert_eq!((probed, is_new, received), (vec![ID.to_owned()], true, vec![]));
     assert!(is_open(&knowledge, now + LATER));
     assert_eq!(knowledge.left_before_era(now + LATER), vec![]);
 }
 
 #[test]
-fn an_endpoint_that_said_it_was_well_and_left_before_the_next_return_is_bound_again() {
+fn an_endpoint_that_was_healthy_and_left_before_the_next_restore_is_marked_again() {
     let now = Instant::now();
     let mut knowledge = knowledge_of_the_copy(now);
-    knowledge.receive_left(&left(), RETURNED.era, now);
+    knowledge.receive_left(&left(), RESTORED.era, now);
     knowledge.note_well(&Incarnation::new(ID, None));
     let next = Revision::new(3, 4);
     knowledge.begin_era(next, now);
     knowledge.apply_endpoint(endpoint(ID, None), Revision::new(3, 3));
 
-    let news = knowledge.receive_left(&left(), next.era, now);
+    let newly_leaving = knowledge.receive_left(&left(), next.era, now);
 
-    assert_eq!(news, left());
+    assert_eq!(newly_leaving, left());
     assert!(!is_open(&knowledge, now));
 }
 
-/// Takes what another gateway hands over that takes the endpoint to be leaving.
+/// Applies the handover of another gateway that has the endpoint as leaving.
 fn take_handover(knowledge: &mut Knowledge, now: Instant) {
     let mut other = knowledge_of_the_copy(now);
-    other.receive_left(&left(), RETURNED.era, now);
+    other.receive_left(&left(), RESTORED.era, now);
     let handover = other.handover(0, Revision::default(), now);
     knowledge.begin_era(Revision::new(2, handover.era_floor), now);
     for known in handover.endpoints {
         knowledge.apply_endpoint(known.endpoint, known.revision);
     }
-    knowledge.receive_left(&handover.left, RETURNED.era, now);
+    knowledge.receive_left(&handover.left, RESTORED.era, now);
 }
 
 #[test]
-fn an_endpoint_that_was_handed_over_as_leaving_is_asked() {
+fn an_endpoint_that_was_handed_over_as_leaving_is_probed() {
     let now = Instant::now();
     let mut knowledge = Knowledge::new(Duration::from_secs(2));
 
@@ -147,10 +147,10 @@
 }
 
 #[test]
-fn an_endpoint_that_said_it_was_well_stays_open_where_it_is_handed_over_as_leaving() {
+fn an_endpoint_that_was_healthy_stays_open_where_it_is_handed_over_as_leaving() {
     let now = Instant::now();
     let mut knowledge = knowledge_of_the_copy(now);
-    knowledge.receive_left(&left(), RETURNED.era, now);
+    knowledge.receive_left(&left(), RESTORED.era, now);
     knowledge.note_well(&Incarnation::new(ID, None));
 
     take_handover(&mut knowledge, now);
@@ -158,7 +158,8 @@
     assert!(is_open(&knowledge, now));
 }
 
-/// The two listed at different moments of the era: what the one takes for the copy's was written in the era for the other.
+/// The two gateways listed at different times of the era: one takes the entry for the copy's, the other
+/// knows that it was written in the era.
 #[test]
 fn an_endpoint_that_wrote_its_entry_in_the_era_stays_open_where_it_is_handed_over_as_leaving() {
     let now = Instant::now();
@@ -172,11 +173,11 @@
 }
 
 #[test]
-fn a_leave_whose_endpoint_is_not_listed_is_told_for_a_while() {
+fn a_departure_whose_endpoint_is_not_listed_is_reported_for_a_while() {
     let now = Instant::now();
     let mut knowledge = Knowledge::new(Duration::from_secs(2));
-    knowledge.begin_era(RETURNED, now);
-    knowledge.receive_left(&left(), RETURNED.era, now);
+    knowledge.begin_era(RESTORED, now);
+    knowledge.receive_left(&left(), RESTORED.era, now);
 
     let first = knowledge.left_before_era(now);
     let later = knowledge.left_before_era(now + 2 * LATER);
--- a/crates/routing/tests/missing_entries.rs
+++ b/crates/routing/tests/missing_entries.rs
@@ -1,4 +1,4 @@
-//! What a list of all entries reports as missing.
+//! Tests which entries a list of all entries reports as missing.
 
 mod common;
 
@@ -11,7 +11,7 @@
 const ID: &str = "endpoint-1";
 const SHORTLY: Duration = Duration::from_millis(500);
 
-/// Knowledge of one endpoint, whose entry has revision 1.
+/// Returns the knowledge of one endpoint, whose entry has revision 1.
 fn knowledge_of_one() -> Knowledge {
     let mut knowledge = Knowledge::new(Duration::from_secs(2));
     knowledge.apply_endpoint(endpoint(ID, None), Revision::new(1, 1));
@@ -22,10 +22,9 @@
     knowledge.known_endpoints().next().expect("it is known").entry.clone()
 }
 
-/// What operators saw: as the store failed several times in a moment, `entry of an endpoint missing after an outage` stood in the log for
-/// the same endpoints once for each list, and they were asked for their health each time.
-///
-/// The cause: each list reported all that it didn't hold, what was known to be missing included.
+/// Guards against repeated log lines and health checks for the same missing entry when the store fails
+/// several times in a row. Each list reported all entries that it didn't contain, including those already
+/// known to be missing.
 #[test]
 fn an_entry_that_is_known_to_be_missing_is_not_reported_again() {
     let mut knowledge = knowledge_of_one();
@@ -38,7 +37,8 @@
     assert_eq!(entry_state(&knowledge), EntryState::MissingSince(now));
 }
 
-/// The same for an entry that could not be used before it was gone: its endpoint's health does not speak for it, and was asked.
+/// Guards against a health check for an entry that was unusable before it was gone, as a healthy endpoint
+/// doesn't make its entry usable.
 #[test]
 fn an_entry_that_could_not_be_used_is_not_reported_as_missing() {
     let mut knowledge = knowledge_of_one();
--- a/crates/routing/tests/placement.rs
+++ b/crates/routing/tests/placement.rs
@@ -52,8 +52,8 @@
     assert!(covers(&shape, &placed));
     assert_fits(&shape, &placed);
     for one in &placed {
-        let room = one.memory_mb / f64::from(one.held.len()) - shape.layer_mb;
-        assert!(room > 1_000.0, "{} keeps {room} MB a layer", one.incarnation);
+        let capacity = one.memory_mb / f64::from(one.held.len()) - shape.layer_mb;
+        assert!(capacity > 1_000.0, "{} keeps {capacity} MB a layer", one.incarnation);
     }
 }
 
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn with_streams_passing_a_gap_is_closed_without_giving_anything_up() {
+fn while_streams_pass_a_gap_is_closed_without_releasing_layers() {
     let shape = shape(80);
     let engines = empty_engines(&shape, &[("h100", 1), ("a100", 1), ("l4", 5), ("t4", 7)]);
     let plan = plan_data_centre(&shape, &engines, false).expect("the memory is enough").placement;
@@ -121,10 +121,11 @@
 }
 
 /// Returns the minimum capacity per layer, in MB, and the step time factor of a division.
-fn room_and_step(shape: &ModelShape, engines: &[ChainEngine], plan: &ChainPlan) -> (f64, f64) {
+fn capacity_and_step(shape: &ModelShape, engines: &[ChainEngine], plan: &ChainPlan) -> (f64, f64) {
     let holding = engines.iter().zip(&plan.ranges).filter(|(_, range)| !range.is_empty());
-    let room = holding.map(|(one, range)| one.memory_mb / f64::from(range.len()) - shape.layer_mb);
-    (room.fold(f64::INFINITY, f64::min), step_time_factor(shape, engines, plan))
+    let capacity =
+        holding.map(|(one, range)| one.memory_mb / f64::from(range.len()) - shape.layer_mb);
+    (capacity.fold(f64::INFINITY, f64::min), step_time_factor(shape, engines, plan))
 }
 
 fn in_chain(engines: &[PlannedEngine]) -> Vec<ChainEngine> {
@@ -139,26 +140,26 @@
 
     let (plan, _) = divide_balanced(&shape, &engines).expect("the memory is enough");
 
-    let (_, slow) = room_and_step(&shape, &engines, &by_memory);
-    let (_, fast) = room_and_step(&shape, &engines, &plan);
+    let (_, slow) = capacity_and_step(&shape, &engines, &by_memory);
+    let (_, fast) = capacity_and_step(&shape, &engines, &plan);
     assert!(fast < slow / 2.0, "{fast} against {slow}");
 }
 
 #[test]
-fn a_single_fast_card_does_not_take_the_room_of_its_chain() {
+fn a_single_fast_card_does_not_reduce_the_capacity_of_its_chain() {
     let shape = shape(80);
     let engines = in_chain(&empty_engines(&shape, &[("a100", 1), ("l4", 9), ("t4", 4)]));
     let by_memory = divide(&shape, &engines, Weights::BALANCE).expect("the memory is enough");
 
     let (plan, _) = divide_balanced(&shape, &engines).expect("the memory is enough");
 
-    let (wide, _) = room_and_step(&shape, &engines, &by_memory);
-    let (room, _) = room_and_step(&shape, &engines, &plan);
-    assert!(room > wide * 0.8, "{room} against {wide} MB");
+    let (wide, _) = capacity_and_step(&shape, &engines, &by_memory);
+    let (capacity, _) = capacity_and_step(&shape, &engines, &plan);
+    assert!(capacity > wide * 0.8, "{capacity} against {wide} MB");
 }
 
 #[test]
-fn a_further_first_engine_gives_its_layers_up_where_the_others_cant_be_whole() {
+fn an_additional_first_engine_releases_its_layers_where_the_others_cant_cover_the_model() {
     let shape = ModelShape { kv_token_bytes: 80_000.0, ..shape(80) };
     let engines = [
         engine(&shape, "first", "h100", 0, 40),
