--- a/crates/gateway/src/process/store/handed_over.rs
+++ b/crates/gateway/src/process/store/handed_over.rs
@@ -37,7 +37,7 @@
         self.receive_left(&handover.left, handover.endpoints_at.era, from);
         self.hear_refused(handover.refused, from);
         for (id, missing_for) in &handover.missing {
-            if self.knowledge.borrow_mut().hear_missing(id, *missing_for, now.into_std()) {
+            if self.knowledge.borrow_mut().receive_missing(id, *missing_for, now.into_std()) {
                 let ms = missing_for.as_millis() as u64;
                 info!("entry of an endpoint missing after an outage", kv: {
                     endpoint = id.as_str(), ms, source = from
--- a/crates/routing/src/process/knowledge/handover.rs
+++ b/crates/routing/src/process/knowledge/handover.rs
@@ -48,7 +48,7 @@
 
     /// Takes over from another gateway that an entry has been missing for `missing_for`, if that is longer
     /// than known here. Returns whether the entry was listed until now.
-    pub fn hear_missing(&mut self, id: &str, missing_for: Duration, now: Instant) -> bool {
+    pub fn receive_missing(&mut self, id: &str, missing_for: Duration, now: Instant) -> bool {
         let Some(known) = self.endpoints.get_mut(id) else { return false };
         let since = now.checked_sub(missing_for).unwrap_or(now);
         match &mut known.entry {
--- a/crates/routing/tests/knowledge_eras/gateway.rs
+++ b/crates/routing/tests/knowledge_eras/gateway.rs
@@ -157,7 +157,7 @@
         }
         knowledge.receive_left(&handover.left, handover.endpoints_at.era, now);
         for (id, missing_for) in &handover.missing {
-            knowledge.hear_missing(id, *missing_for, now);
+            knowledge.receive_missing(id, *missing_for, now);
         }
         for id in knowledge.unlisted(&listed) {
             knowledge.remove_endpoint(&id, now);
