--- a/crates/gateway/src/process/store/endpoint_check.rs
+++ b/crates/gateway/src/process/store/endpoint_check.rs
@@ -168,7 +168,7 @@
     let gateway = Rc::clone(gateway);
     tokio::task::spawn_local(async move {
         let res = ask_health(&gateway, &asked).await;
-        if res.is_err() || !gateway.knowledge.borrow_mut().note_well(&asked.incarnation) {
+        if res.is_err() || !gateway.knowledge.borrow_mut().mark_healthy(&asked.incarnation) {
             return;
         }
         info!("endpoint that had left is well", kv: { endpoint = asked.incarnation.id.as_str() });
--- a/crates/routing/src/process/knowledge/era.rs
+++ b/crates/routing/src/process/knowledge/era.rs
@@ -62,7 +62,7 @@
 
     /// Marks an endpoint that left before this era as ready after it reported that it is healthy. Returns
     /// whether that is new.
-    pub fn note_well(&mut self, incarnation: &Incarnation) -> bool {
+    pub fn mark_healthy(&mut self, incarnation: &Incarnation) -> bool {
         let known = self.endpoints.get_mut(&incarnation.id);
         let Some(known) = known.filter(|known| self.left.contains(&known.endpoint)) else {
             return false;
--- a/crates/routing/tests/knowledge_eras/fleet.rs
+++ b/crates/routing/tests/knowledge_eras/fleet.rs
@@ -210,7 +210,7 @@
         gateway.knowledge.expire(instant);
         for id in gateway.knowledge.left_to_ask(instant) {
             if self.servers[&id].state == ServerState::Ready {
-                gateway.knowledge.note_well(&self.servers[&id].endpoint.incarnation());
+                gateway.knowledge.mark_healthy(&self.servers[&id].endpoint.incarnation());
             }
         }
     }
--- a/crates/routing/tests/left_before_era.rs
+++ b/crates/routing/tests/left_before_era.rs
@@ -99,7 +99,7 @@
     knowledge.receive_left(&left(), RESTORED.era, now);
 
     let probed = knowledge.left_to_ask(now + LATER);
-    let is_new = knowledge.note_well(&Incarnation::new(ID, None));
+    let is_new = knowledge.mark_healthy(&Incarnation::new(ID, None));
     let received = knowledge.receive_left(&left(), RESTORED.era, now + LATER);
 
     assert_eq!((probed, is_new, received), (vec![ID.to_owned()], true, vec![]));
@@ -112,7 +112,7 @@
     let now = Instant::now();
     let mut knowledge = knowledge_of_the_copy(now);
     knowledge.receive_left(&left(), RESTORED.era, now);
-    knowledge.note_well(&Incarnation::new(ID, None));
+    knowledge.mark_healthy(&Incarnation::new(ID, None));
     let next = Revision::new(3, 4);
     knowledge.begin_era(next, now);
     knowledge.apply_endpoint(endpoint(ID, None), Revision::new(3, 3));
@@ -151,7 +151,7 @@
     let now = Instant::now();
     let mut knowledge = knowledge_of_the_copy(now);
     knowledge.receive_left(&left(), RESTORED.era, now);
-    knowledge.note_well(&Incarnation::new(ID, None));
+    knowledge.mark_healthy(&Incarnation::new(ID, None));
 
     take_handover(&mut knowledge, now);
 
