--- a/crates/gateway/src/process/store/endpoint_news.rs
+++ b/crates/gateway/src/process/store/endpoint_news.rs
@@ -25,7 +25,7 @@
     loop {
         sleep(EXPIRY_INTERVAL).await;
         let now = Instant::now().into_std();
-        let to_ask = gateway.knowledge.borrow_mut().left_to_ask(now);
+        let to_ask = gateway.knowledge.borrow_mut().left_to_probe(now);
         to_ask.iter().for_each(|id| check_left(&gateway, id));
         let gone = gateway.knowledge.borrow_mut().expire(now);
         for (id, entry) in &gone {
--- a/crates/routing/src/process/knowledge/era.rs
+++ b/crates/routing/src/process/knowledge/era.rs
@@ -53,7 +53,7 @@
 
     /// Returns the endpoints that left before this era, are listed as ready, and are due for a health
     /// check.
-    pub fn left_to_ask(&mut self, now: Instant) -> Vec<EndpointId> {
+    pub fn left_to_probe(&mut self, now: Instant) -> Vec<EndpointId> {
         let endpoints = &self.endpoints;
         let is_listed =
             |id: &EndpointId| endpoints.get(id).is_some_and(|e| e.entry == EntryState::Listed);
--- a/crates/routing/tests/knowledge_eras/fleet.rs
+++ b/crates/routing/tests/knowledge_eras/fleet.rs
@@ -208,7 +208,7 @@
         let leaves = |id: &str| matches!(servers[id].state, ServerState::Leaving(..));
         due.into_iter().for_each(|one| gateway.take_answer(one, leaves, instant));
         gateway.knowledge.expire(instant);
-        for id in gateway.knowledge.left_to_ask(instant) {
+        for id in gateway.knowledge.left_to_probe(instant) {
             if self.servers[&id].state == ServerState::Ready {
                 gateway.knowledge.mark_healthy(&self.servers[&id].endpoint.incarnation());
             }
--- a/crates/routing/tests/left_before_era.rs
+++ b/crates/routing/tests/left_before_era.rs
@@ -98,7 +98,7 @@
     let mut knowledge = knowledge_of_the_copy(now);
     knowledge.receive_left(&left(), RESTORED.era, now);
 
-    let probed = knowledge.left_to_ask(now + LATER);
+    let probed = knowledge.left_to_probe(now + LATER);
     let is_new = knowledge.mark_healthy(&Incarnation::new(ID, None));
     let received = knowledge.receive_left(&left(), RESTORED.era, now + LATER);
 
@@ -143,7 +143,7 @@
     take_handover(&mut knowledge, now);
 
     assert!(!is_open(&knowledge, now));
-    assert_eq!(knowledge.left_to_ask(now + LATER), vec![ID.to_owned()]);
+    assert_eq!(knowledge.left_to_probe(now + LATER), vec![ID.to_owned()]);
 }
 
 #[test]
