--- a/crates/gateway/src/process/store/entries.rs
+++ b/crates/gateway/src/process/store/entries.rs
@@ -9,7 +9,7 @@
 use crate::process::{Count, Gateway, check_address};
 use sorrellock_platform::StoredObject;
 use sorrellock_routing::process::Revision;
-use sorrellock_routing::process::knowledge::{EndpointNews, Refusal, RefusalTold, RefusedEntry};
+use sorrellock_routing::process::knowledge::{EndpointNews, Refusal, RefusalReport, RefusedEntry};
 use sorrellock_routing::process::{Endpoint, EntryFault, FOUND_MOST, FaultKind, cut};
 use spdlog::{info, warn};
 use std::rc::Rc;
@@ -139,7 +139,7 @@
     }
 
     /// Takes entries that another gateway couldn't use.
-    pub(crate) fn hear_refused(&self, told: Vec<RefusalTold>, from: &str) {
+    pub(crate) fn hear_refused(&self, told: Vec<RefusalReport>, from: &str) {
         let now = Instant::now();
         for one in told {
             let since = now.checked_sub(one.lasts).unwrap_or(now);
--- a/crates/routing/src/process/knowledge/handover.rs
+++ b/crates/routing/src/process/knowledge/handover.rs
@@ -19,7 +19,7 @@
     pub missing: Vec<(EndpointId, Duration)>,
     /// The changed entries that can't be used.
     #[serde(default)]
-    pub refused: Vec<RefusalTold>,
+    pub refused: Vec<RefusalReport>,
     /// The store revision up to which the endpoints are known.
     pub endpoints_at: Revision,
     /// Changes up to this count may stem from the copy that the era began with.
@@ -30,7 +30,7 @@
 
 /// An entry that can't be used, as one gateway reports it to another.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct RefusalTold {
+pub struct RefusalReport {
     /// The endpoint that the entry belongs to.
     pub id: EndpointId,
     /// The entry and its fault.
@@ -66,15 +66,15 @@
 
     /// Returns the unusable entries that changed after a revision. That of a known endpoint is included
     /// even if it is gone from the list, as the receiver must not use the endpoint's earlier entry either.
-    fn refused_after(&self, known_at: Revision, now: Instant) -> Vec<RefusalTold> {
+    fn refused_after(&self, known_at: Revision, now: Instant) -> Vec<RefusalReport> {
         let of_known = self.endpoints.iter().filter_map(|(id, known)| {
             let EntryState::UnusableSince(since, fault) = &known.entry else { return None };
             let new = || RefusedEntry::new(known.revision, fault.clone());
             let entry = self.refused.get(id).cloned().unwrap_or_else(new);
-            Some(RefusalTold { id: id.clone(), entry, lasts: now - *since })
+            Some(RefusalReport { id: id.clone(), entry, lasts: now - *since })
         });
         let others = self.refused.iter().filter(|(id, _)| !self.endpoints.contains_key(*id));
-        let others = others.map(|(id, entry)| RefusalTold {
+        let others = others.map(|(id, entry)| RefusalReport {
             id: id.clone(),
             entry: entry.clone(),
             lasts: Duration::ZERO,
