--- a/crates/gateway/src/process/store/entries.rs
+++ b/crates/gateway/src/process/store/entries.rs
@@ -9,7 +9,9 @@
 use crate::process::{Count, Gateway, check_address};
 use sorrellock_platform::StoredObject;
 use sorrellock_routing::process::Revision;
-use sorrellock_routing::process::knowledge::{EndpointNews, Refusal, RefusalReport, RefusedEntry};
+use sorrellock_routing::process::knowledge::{
+    EndpointUpdate, Refusal, RefusalReport, RefusedEntry,
+};
 use sorrellock_routing::process::{Endpoint, EntryFault, FOUND_MOST, FaultKind, cut};
 use spdlog::{info, warn};
 use std::rc::Rc;
@@ -85,11 +87,11 @@
         let service = endpoint.service.clone();
         let news = self.knowledge.borrow_mut().apply_endpoint(endpoint, revision);
         let what = match news {
-            EndpointNews::Nothing => return,
-            EndpointNews::Joined => "endpoint joined",
-            EndpointNews::Leaving => "endpoint leaving",
-            EndpointNews::Back => "entry of an endpoint is back",
-            EndpointNews::Changed => "endpoint changed",
+            EndpointUpdate::Nothing => return,
+            EndpointUpdate::Joined => "endpoint joined",
+            EndpointUpdate::Leaving => "endpoint leaving",
+            EndpointUpdate::Back => "entry of an endpoint is back",
+            EndpointUpdate::Changed => "endpoint changed",
         };
         let (from, to) = (layers.from, layers.to);
         info!("{}", what, kv: {
--- a/crates/routing/src/process/knowledge/knowledge.rs
+++ b/crates/routing/src/process/knowledge/knowledge.rs
@@ -39,7 +39,7 @@
 
 /// What an entry changed about an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndpointNews {
+pub enum EndpointUpdate {
     /// The endpoint is new.
     Joined,
     /// The endpoint is now leaving.
@@ -220,24 +220,24 @@
     }
 
     /// Applies an entry that was written at `revision`.
-    pub fn apply_endpoint(&mut self, endpoint: Endpoint, revision: Revision) -> EndpointNews {
+    pub fn apply_endpoint(&mut self, endpoint: Endpoint, revision: Revision) -> EndpointUpdate {
         if !self.is_news(&endpoint.id, revision) {
-            return EndpointNews::Nothing;
+            return EndpointUpdate::Nothing;
         }
         let endpoint = self.mark_if_left(endpoint, revision);
         self.removed.remove(&endpoint.id);
         let before = self.endpoints.get(&endpoint.id);
         let news = match before {
-            None if endpoint.is_leaving => EndpointNews::Leaving,
-            None => EndpointNews::Joined,
+            None if endpoint.is_leaving => EndpointUpdate::Leaving,
+            None => EndpointUpdate::Joined,
             Some(known) if known.entry != EntryState::Listed && !endpoint.is_leaving => {
-                EndpointNews::Back
+                EndpointUpdate::Back
             }
-            Some(known) if known.endpoint == endpoint => EndpointNews::Nothing,
+            Some(known) if known.endpoint == endpoint => EndpointUpdate::Nothing,
             Some(known) if !known.endpoint.is_leaving && endpoint.is_leaving => {
-                EndpointNews::Leaving
+                EndpointUpdate::Leaving
             }
-            Some(_) => EndpointNews::Changed,
+            Some(_) => EndpointUpdate::Changed,
         };
         self.refused.remove(&endpoint.id);
         let known = KnownEndpoint { endpoint, revision, entry: EntryState::Listed };
