--- a/crates/gateway/src/process/store/entries.rs
+++ b/crates/gateway/src/process/store/entries.rs
@@ -118,7 +118,7 @@
         self.counters.add(Count::from(fault.kind()));
         if self.told_faults.borrow_mut().is_news(id, &fault) {
             let (endpoint, why) = (cut(id, FOUND_MOST), fault.to_string());
-            let known = refusal != Refusal::OfUnknown;
+            let known = refusal != Refusal::UnknownEndpoint;
             warn!("entry of an endpoint can't be used", kv: {
                 endpoint = endpoint.as_str(), why = why.as_str(), known, era = revision.era,
                 revision = revision.count, source
--- a/crates/routing/src/process/knowledge/knowledge.rs
+++ b/crates/routing/src/process/knowledge/knowledge.rs
@@ -30,7 +30,7 @@
     /// A newer entry is known; nothing changes.
     Outdated,
     /// The endpoint is not known.
-    OfUnknown,
+    UnknownEndpoint,
     /// The known endpoint's entry was already unusable.
     StillUnusable,
     /// The known endpoint's entry was not unusable before.
@@ -262,7 +262,7 @@
             return Refusal::Outdated;
         }
         self.refused.insert(id, RefusedEntry { had_start, ..entry });
-        let Some(known) = known else { return Refusal::OfUnknown };
+        let Some(known) = known else { return Refusal::UnknownEndpoint };
         known.revision = revision;
         let was_unusable = known.entry.is_unusable();
         let since = known.entry.since().map_or(since, |before| before.min(since));
