--- a/crates/gateway/src/process/store/entries.rs
+++ b/crates/gateway/src/process/store/entries.rs
@@ -124,7 +124,7 @@
                 revision = revision.count, source
             });
         }
-        if refusal == Refusal::OfKnown {
+        if refusal == Refusal::NewlyUnusable {
             self.engines_changed.notify_waiters();
         }
     }
--- a/crates/routing/src/process/knowledge/knowledge.rs
+++ b/crates/routing/src/process/knowledge/knowledge.rs
@@ -34,7 +34,7 @@
     /// The known endpoint's entry was already unusable.
     StillUnusable,
     /// The known endpoint's entry was not unusable before.
-    OfKnown,
+    NewlyUnusable,
 }
 
 /// What an entry changed about an endpoint.
@@ -267,7 +267,7 @@
         let was_unusable = known.entry.is_unusable();
         let since = known.entry.since().map_or(since, |before| before.min(since));
         known.entry = EntryState::UnusableSince(since, fault);
-        if was_unusable { Refusal::StillUnusable } else { Refusal::OfKnown }
+        if was_unusable { Refusal::StillUnusable } else { Refusal::NewlyUnusable }
     }
 
     /// Returns whether a known endpoint's entry is unusable.
