--- a/crates/gateway/src/process/store/entries.rs
+++ b/crates/gateway/src/process/store/entries.rs
@@ -166,7 +166,7 @@
 
     /// Judges all entries by what is known of starts by now.
     pub(crate) fn judge_starts(self: &Rc<Self>, source: &str) {
-        let verdicts = self.knowledge.borrow_mut().start_verdicts();
+        let verdicts = self.knowledge.borrow_mut().review_starts();
         for (endpoint, revision) in verdicts.refused {
             self.refuse_startless(endpoint, revision, source);
         }
--- a/crates/routing/src/process/knowledge/starts.rs
+++ b/crates/routing/src/process/knowledge/starts.rs
@@ -39,7 +39,7 @@
     }
 
     /// Evaluates all entries against the current start rule. Returns those with a changed result.
-    pub fn start_verdicts(&mut self) -> StartVerdicts {
+    pub fn review_starts(&mut self) -> StartVerdicts {
         let usable = self.endpoints.values().filter(|known| !known.entry.is_unusable());
         let refused = usable.filter(|known| self.lacks_start(&known.endpoint));
         let refused = refused.map(|known| (known.endpoint.clone(), known.revision)).collect();
