--- a/crates/routing/src/process/knowledge/starts.rs
+++ b/crates/routing/src/process/knowledge/starts.rs
@@ -6,7 +6,7 @@
 
 /// Entries that are evaluated differently after a change of the start rule.
 #[derive(Debug, Default)]
-pub struct StartVerdicts {
+pub struct StartReview {
     /// Entries accepted so far that lack a start which is now required.
     pub refused: Vec<(Endpoint, Revision)>,
     /// Entries refused so far whose start is no longer required.
@@ -39,7 +39,7 @@
     }
 
     /// Evaluates all entries against the current start rule. Returns those with a changed result.
-    pub fn review_starts(&mut self) -> StartVerdicts {
+    pub fn review_starts(&mut self) -> StartReview {
         let usable = self.endpoints.values().filter(|known| !known.entry.is_unusable());
         let refused = usable.filter(|known| self.lacks_start(&known.endpoint));
         let refused = refused.map(|known| (known.endpoint.clone(), known.revision)).collect();
@@ -52,6 +52,6 @@
             // The unchanged entry is accepted again, so its revision must not count as outdated.
             self.removed.remove(&endpoint.id);
         }
-        StartVerdicts { refused, accepted }
+        StartReview { refused, accepted }
     }
 }
