--- a/crates/core/src/process/retries/breakers.rs
+++ b/crates/core/src/process/retries/breakers.rs
@@ -62,8 +62,8 @@
         let before = kept.breaker.state();
         kept.breaker.on_end(now, permit, end);
         let after = kept.breaker.state();
-        let is_news = (before == BreakerState::Closed) != (after == BreakerState::Closed);
-        is_news.then_some(after)
+        let is_new = (before == BreakerState::Closed) != (after == BreakerState::Closed);
+        is_new.then_some(after)
     }
 
     /// The state of an endpoint's breaker.
--- a/crates/gateway/src/process/peers/beliefs.rs
+++ b/crates/gateway/src/process/peers/beliefs.rs
@@ -212,11 +212,11 @@
         now: Instant,
         lasts: Duration,
     ) -> bool {
-        let is_news = !self
+        let is_new = !self
             .suspects
             .get(incarnation)
             .is_some_and(|suspect| suspect.is_own() && suspect.until > now);
-        match self.suspects.get_mut(incarnation).filter(|_| !is_news) {
+        match self.suspects.get_mut(incarnation).filter(|_| !is_new) {
             Some(known) => {
                 known.until = now + lasts;
                 known.evidence = evidence;
@@ -226,7 +226,7 @@
                 self.suspects.insert(incarnation.clone(), suspicion);
             }
         }
-        is_news
+        is_new
     }
 
     /// An endpoint failed another gateway, and does not serve this one either. Tells whether that is news.
@@ -237,13 +237,13 @@
         now: Instant,
         lasts: Duration,
     ) -> bool {
-        let is_news = !self.is_suspect(&report.incarnation, now);
-        if is_news {
+        let is_new = !self.is_suspect(&report.incarnation, now);
+        if is_new {
             let source = SuspicionSource::Gateway(instance.to_owned());
             let suspicion = Suspicion::new(source, report.evidence, now, lasts);
             self.suspects.insert(report.incarnation.clone(), suspicion);
         }
-        is_news
+        is_new
     }
 
     /// The suspicion of an endpoint, if any holds.
@@ -268,10 +268,10 @@
 
     /// An endpoint told this gateway that it takes nothing more. Tells whether that is news.
     pub(crate) fn believe_leaving(&mut self, incarnation: &Incarnation, now: Instant) -> bool {
-        let is_news = !self.is_leaving(incarnation, now);
+        let is_new = !self.is_leaving(incarnation, now);
         let leaving = Leaving { until: now + LEAVING_FOR, is_own: true };
         self.leaving.insert(incarnation.clone(), leaving);
-        is_news
+        is_new
     }
 
     /// Another gateway heard that from an endpoint.
--- a/crates/gateway/src/process/store/entries.rs
+++ b/crates/gateway/src/process/store/entries.rs
@@ -59,7 +59,7 @@
         revision: Revision,
         source: &str,
     ) {
-        if !self.knowledge.borrow().is_news(&endpoint.id, revision) {
+        if !self.knowledge.borrow().is_new(&endpoint.id, revision) {
             return;
         }
         if self.knowledge.borrow().lacks_start(&endpoint) {
@@ -116,7 +116,7 @@
             return;
         }
         self.counters.add(Count::from(fault.kind()));
-        if self.told_faults.borrow_mut().is_news(id, &fault) {
+        if self.told_faults.borrow_mut().is_new(id, &fault) {
             let (endpoint, why) = (cut(id, FOUND_MOST), fault.to_string());
             let known = refusal != Refusal::UnknownEndpoint;
             warn!("entry of an endpoint can't be used", kv: {
@@ -133,7 +133,7 @@
     pub(crate) fn refuse_nameless(&self, faults: &[EntryFault], kind: &str) {
         for fault in faults {
             self.counters.add(Count::NamelessObjects);
-            if self.told_faults.borrow_mut().is_news(kind, fault) {
+            if self.told_faults.borrow_mut().is_new(kind, fault) {
                 let why = fault.to_string();
                 warn!("object without a name that can be read", kv: { kind, why = why.as_str() });
             }
@@ -158,7 +158,7 @@
         fault: &EntryFault,
     ) {
         self.counters.add(count);
-        if self.told_faults.borrow_mut().is_news(&format!("{what}/{name}"), fault) {
+        if self.told_faults.borrow_mut().is_new(&format!("{what}/{name}"), fault) {
             let (name, why) = (cut(name, FOUND_MOST), fault.to_string());
             warn!("{}", what, kv: { name = name.as_str(), why = why.as_str() });
         }
--- a/crates/gateway/src/process/store/told_faults.rs
+++ b/crates/gateway/src/process/store/told_faults.rs
@@ -14,7 +14,7 @@
 
 impl ToldFaults {
     /// Whether an object's fault wasn't told yet. A value that changes with each write is no news.
-    pub(crate) fn is_news(&mut self, name: &str, fault: &EntryFault) -> bool {
+    pub(crate) fn is_new(&mut self, name: &str, fault: &EntryFault) -> bool {
         if self.told.len() >= MOST_TOLD {
             self.told.clear();
         }
--- a/crates/routing/src/process/incarnations.rs
+++ b/crates/routing/src/process/incarnations.rs
@@ -284,12 +284,12 @@
     }
 
     fn on_replaced(&mut self, started: Option<StartMillis>) -> bool {
-        let is_news = !self.is_over(started);
+        let is_new = !self.is_over(started);
         self.end(started, EndedBy::Answer, None);
         if self.present.is_some_and(|present| present.started == started) {
             self.present = None;
         }
-        is_news
+        is_new
     }
 
     /// The last known of the incarnations that were found one in the place of the other, from `started` on.
--- a/crates/routing/src/process/knowledge/knowledge.rs
+++ b/crates/routing/src/process/knowledge/knowledge.rs
@@ -196,7 +196,7 @@
     }
 
     /// Returns whether an entry of `revision` is not older than what is known about the endpoint.
-    pub fn is_news(&self, id: &str, revision: Revision) -> bool {
+    pub fn is_new(&self, id: &str, revision: Revision) -> bool {
         if self.refused.get(id).is_some_and(|refused| refused.revision > revision) {
             return false;
         }
@@ -221,7 +221,7 @@
 
     /// Applies an entry that was written at `revision`.
     pub fn apply_endpoint(&mut self, endpoint: Endpoint, revision: Revision) -> EndpointUpdate {
-        if !self.is_news(&endpoint.id, revision) {
+        if !self.is_new(&endpoint.id, revision) {
             return EndpointUpdate::Nothing;
         }
         let endpoint = self.mark_if_left(endpoint, revision);
