--- a/crates/gateway/src/process/placer/orders.rs
+++ b/crates/gateway/src/process/placer/orders.rs
@@ -24,10 +24,10 @@
         let mut engines = self.engines.borrow_mut();
         for endpoint in endpoints {
             let Some(engine) = engines.get_mut(&endpoint.incarnation()) else { continue };
-            let gives_up = steps
+            let releases_layers = steps
                 .iter()
-                .any(|step| step.gives_up && step.incarnation == endpoint.incarnation());
-            if engine.ordered.is_none() && !gives_up {
+                .any(|step| step.releases_layers && step.incarnation == endpoint.incarnation());
+            if engine.ordered.is_none() && !releases_layers {
                 engine.closing = None;
             }
         }
@@ -42,7 +42,7 @@
     pub(super) fn order(&self, step: Step, now: Instant) {
         let mut engines = self.engines.borrow_mut();
         let Some(engine) = engines.get_mut(&step.incarnation) else { return };
-        if step.gives_up {
+        if step.releases_layers {
             let (stay, since) = *engine.closing.get_or_insert((step.layers, now));
             if stay != step.layers {
                 engine.closing = Some((step.layers, now));
--- a/crates/gateway/src/process/placer/placer.rs
+++ b/crates/gateway/src/process/placer/placer.rs
@@ -202,7 +202,7 @@
         let mut steps = next_steps(&plan.placement, &holdings, shape.layers, is_idle);
         if plan.is_repair {
             // Once the gap is closed, what is held besides is left to the next balance.
-            steps.retain(|step| step.is_urgent || !step.gives_up);
+            steps.retain(|step| step.is_urgent || !step.releases_layers);
         }
         self.reopen(endpoints, &steps);
         let is_short = plan.is_repair || is_any_chain_scarce(shape, &planned);
--- a/crates/routing/src/process/placement/transition.rs
+++ b/crates/routing/src/process/placement/transition.rs
@@ -25,7 +25,7 @@
     /// The layers to order.
     pub layers: LayerRange,
     /// Whether it releases layers in use: requests must stop using them first.
-    pub gives_up: bool,
+    pub releases_layers: bool,
 }
 
 /// Returns the orders to issue now to bring the engines of a data centre closer to the plan. Layers are
@@ -50,12 +50,12 @@
             false => Some(next_when_unserved(*want, holding)),
         };
         let Some(next) = next.filter(|next| *next != holding.ready) else { continue };
-        let gives_up = is_served && holding.ready.overlap(next) < holding.ready.len();
+        let releases_layers = is_served && holding.ready.overlap(next) < holding.ready.len();
         steps.push(Step {
             incarnation: incarnation.clone(),
             is_urgent: !is_served,
             layers: next,
-            gives_up,
+            releases_layers,
         });
     }
     steps
