--- a/crates/gateway/src/process/store/entries.rs
+++ b/crates/gateway/src/process/store/entries.rs
@@ -90,7 +90,7 @@
             EndpointUpdate::Nothing => return,
             EndpointUpdate::Joined => "endpoint joined",
             EndpointUpdate::Leaving => "endpoint leaving",
-            EndpointUpdate::Back => "entry of an endpoint is back",
+            EndpointUpdate::Recovered => "entry of an endpoint is back",
             EndpointUpdate::Changed => "endpoint changed",
         };
         let (from, to) = (layers.from, layers.to);
--- a/crates/routing/src/process/knowledge/knowledge.rs
+++ b/crates/routing/src/process/knowledge/knowledge.rs
@@ -45,7 +45,7 @@
     /// The endpoint is now leaving.
     Leaving,
     /// The entry was missing or unusable, and is usable again.
-    Back,
+    Recovered,
     /// The entry changed in another way.
     Changed,
     /// The entry is outdated or unchanged.
@@ -231,7 +231,7 @@
             None if endpoint.is_leaving => EndpointUpdate::Leaving,
             None => EndpointUpdate::Joined,
             Some(known) if known.entry != EntryState::Listed && !endpoint.is_leaving => {
-                EndpointUpdate::Back
+                EndpointUpdate::Recovered
             }
             Some(known) if known.endpoint == endpoint => EndpointUpdate::Nothing,
             Some(known) if !known.endpoint.is_leaving && endpoint.is_leaving => {
