--- a/crates/gateway/src/process/store/entries.rs
+++ b/crates/gateway/src/process/store/entries.rs
@@ -87,7 +87,7 @@
         let service = endpoint.service.clone();
         let news = self.knowledge.borrow_mut().apply_endpoint(endpoint, revision);
         let what = match news {
-            EndpointUpdate::Nothing => return,
+            EndpointUpdate::Unchanged => return,
             EndpointUpdate::Joined => "endpoint joined",
             EndpointUpdate::Leaving => "endpoint leaving",
             EndpointUpdate::Recovered => "entry of an endpoint is back",
--- a/crates/routing/src/process/knowledge/knowledge.rs
+++ b/crates/routing/src/process/knowledge/knowledge.rs
@@ -49,7 +49,7 @@
     /// The entry changed in another way.
     Changed,
     /// The entry is outdated or unchanged.
-    Nothing,
+    Unchanged,
 }
 
 /// A removed endpoint and the time of its removal.
@@ -222,7 +222,7 @@
     /// Applies an entry that was written at `revision`.
     pub fn apply_endpoint(&mut self, endpoint: Endpoint, revision: Revision) -> EndpointUpdate {
         if !self.is_new(&endpoint.id, revision) {
-            return EndpointUpdate::Nothing;
+            return EndpointUpdate::Unchanged;
         }
         let endpoint = self.mark_if_left(endpoint, revision);
         self.removed.remove(&endpoint.id);
@@ -233,7 +233,7 @@
             Some(known) if known.entry != EntryState::Listed && !endpoint.is_leaving => {
                 EndpointUpdate::Recovered
             }
-            Some(known) if known.endpoint == endpoint => EndpointUpdate::Nothing,
+            Some(known) if known.endpoint == endpoint => EndpointUpdate::Unchanged,
             Some(known) if !known.endpoint.is_leaving && endpoint.is_leaving => {
                 EndpointUpdate::Leaving
             }
