--- a/crates/routing/src/process/knowledge/knowledge.rs
+++ b/crates/routing/src/process/knowledge/knowledge.rs
@@ -48,7 +48,7 @@
     Recovered,
     /// The entry changed in another way.
     Changed,
-    /// The entry is outdated or unchanged.
+    /// The entry is outdated or identical.
     Unchanged,
 }
 
@@ -227,7 +227,7 @@
         let endpoint = self.mark_if_left(endpoint, revision);
         self.removed.remove(&endpoint.id);
         let before = self.endpoints.get(&endpoint.id);
-        let news = match before {
+        let update = match before {
             None if endpoint.is_leaving => EndpointUpdate::Leaving,
             None => EndpointUpdate::Joined,
             Some(known) if known.entry != EntryState::Listed && !endpoint.is_leaving => {
@@ -242,7 +242,7 @@
         self.refused.remove(&endpoint.id);
         let known = KnownEndpoint { endpoint, revision, entry: EntryState::Listed };
         self.endpoints.insert(known.endpoint.id.clone(), known);
-        news
+        update
     }
 
     /// Removes an endpoint whose entry is gone for good. Returns whether it was known.
--- a/crates/routing/src/process/placement/chains.rs
+++ b/crates/routing/src/process/placement/chains.rs
@@ -30,7 +30,7 @@
 /// Maximum share of layers that may be missing for engines to still count as a chain.
 const MAX_GAPS: f64 = 0.25;
 
-/// Engines that together hold the whole model, or are to hold it.
+/// Engines that together hold the model, or are planned to.
 pub type Chain = Vec<PlannedEngine>;
 
 /// Divides the engines of a data centre into chains. Engines stay in the chain that they are known to
