--- a/crates/gateway/src/process/store/entries.rs
+++ b/crates/gateway/src/process/store/entries.rs
@@ -9,7 +9,9 @@
 use crate::process::{Count, Gateway, check_address};
 use sorrellock_platform::StoredObject;
 use sorrellock_routing::process::Revision;
-use sorrellock_routing::process::knowledge::{EndpointNews, Refusal, RefusalTold, RefusedEntry};
+use sorrellock_routing::process::knowledge::{
+    EndpointUpdate, Refusal, RefusalReport, RefusedEntry,
+};
 use sorrellock_routing::process::{Endpoint, EntryFault, FaultKind, MAX_FOUND_CHARS, cut};
 use spdlog::{info, warn};
 use std::rc::Rc;
@@ -57,7 +59,7 @@
         revision: Revision,
         source: &str,
     ) {
-        if !self.knowledge.borrow().is_news(&endpoint.id, revision) {
+        if !self.knowledge.borrow().is_new(&endpoint.id, revision) {
             return;
         }
         if self.knowledge.borrow().lacks_start(&endpoint) {
@@ -85,11 +87,11 @@
         let service = endpoint.service.clone();
         let news = self.knowledge.borrow_mut().apply_endpoint(endpoint, revision);
         let what = match news {
-            EndpointNews::Nothing => return,
-            EndpointNews::Joined => "endpoint joined",
-            EndpointNews::Leaving => "endpoint leaving",
-            EndpointNews::Back => "entry of an endpoint is back",
-            EndpointNews::Changed => "endpoint changed",
+            EndpointUpdate::Unchanged => return,
+            EndpointUpdate::Joined => "endpoint joined",
+            EndpointUpdate::Leaving => "endpoint leaving",
+            EndpointUpdate::Recovered => "entry of an endpoint is back",
+            EndpointUpdate::Changed => "endpoint changed",
         };
         let (from, to) = (layers.from, layers.to);
         info!("{}", what, kv: {
@@ -114,15 +116,15 @@
             return;
         }
         self.counters.add(Count::from(fault.kind()));
-        if self.told_faults.borrow_mut().is_news(id, &fault) {
+        if self.told_faults.borrow_mut().is_new(id, &fault) {
             let (endpoint, why) = (cut(id, MAX_FOUND_CHARS), fault.to_string());
-            let known = refusal != Refusal::OfUnknown;
+            let known = refusal != Refusal::UnknownEndpoint;
             warn!("entry of an endpoint can't be used", kv: {
                 endpoint = endpoint.as_str(), why = why.as_str(), known, era = revision.era,
                 revision = revision.count, source
             });
         }
-        if refusal == Refusal::OfKnown {
+        if refusal == Refusal::NewlyUnusable {
             self.engines_changed.notify_waiters();
         }
     }
@@ -131,7 +133,7 @@
     pub(crate) fn refuse_nameless(&self, faults: &[EntryFault], kind: &str) {
         for fault in faults {
             self.counters.add(Count::NamelessObjects);
-            if self.told_faults.borrow_mut().is_news(kind, fault) {
+            if self.told_faults.borrow_mut().is_new(kind, fault) {
                 let why = fault.to_string();
                 warn!("object without a name that can be read", kv: { kind, why = why.as_str() });
             }
@@ -139,7 +141,7 @@
     }
 
     /// Takes entries that another gateway couldn't use.
-    pub(crate) fn hear_refused(&self, told: Vec<RefusalTold>, from: &str) {
+    pub(crate) fn hear_refused(&self, told: Vec<RefusalReport>, from: &str) {
         let now = Instant::now();
         for one in told {
             let since = now.checked_sub(one.lasts).unwrap_or(now);
@@ -156,7 +158,7 @@
         fault: &EntryFault,
     ) {
         self.counters.add(count);
-        if self.told_faults.borrow_mut().is_news(&format!("{what}/{name}"), fault) {
+        if self.told_faults.borrow_mut().is_new(&format!("{what}/{name}"), fault) {
             let (name, why) = (cut(name, MAX_FOUND_CHARS), fault.to_string());
             warn!("{}", what, kv: { name = name.as_str(), why = why.as_str() });
         }
@@ -164,7 +166,7 @@
 
     /// Judges all entries by what is known of starts by now.
     pub(crate) fn judge_starts(self: &Rc<Self>, source: &str) {
-        let verdicts = self.knowledge.borrow_mut().start_verdicts();
+        let verdicts = self.knowledge.borrow_mut().review_starts();
         for (endpoint, revision) in verdicts.refused {
             self.refuse_startless(endpoint, revision, source);
         }
