--- a/crates/gateway/src/connection/caller_connection.rs
+++ b/crates/gateway/src/connection/caller_connection.rs
@@ -1,7 +1,7 @@
 //! Connections of callers: takes them in, serves their requests, and closes those that are idle.
 
 use crate::process::{ACCEPT_ERROR_PAUSE, Count, Gateway, Phase};
-use crate::request::answer;
+use crate::request::handle_request;
 use http::{HeaderValue, Request, Response, header};
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
@@ -171,7 +171,7 @@
     activity.on_request();
     let arrived = Instant::now();
     let unanswered = Counted::new(Rc::clone(&gateway), |g| &g.unanswered);
-    let res = answer(Rc::clone(&gateway), req, arrived).await;
+    let res = handle_request(Rc::clone(&gateway), req, arrived).await;
     drop(unanswered);
     let mut answer = res?;
     // A new connection takes heads of the size that the configuration allows by now.
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -17,74 +17,75 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Weight of the newest answer in an endpoint's mean time.
+/// Weight of the newest answer in an endpoint's moving average of answer times.
 const MEAN_WEIGHT: f64 = 0.2;
 
-/// Silence of a kept connection after which the others of its age are not relied on: a hundred round trips, and longer than all
-/// but a few answers take to begin. Sooner, callers that leave at once would cost their connections.
-const SILENT_AFTER: Duration = Duration::from_millis(500);
+/// How long a connection must be silent for pooled connections of the same age to be discarded: a hundred round trips,
+/// and longer than nearly all answers take to start. A shorter time would discard connections whenever a caller leaves
+/// early.
+const POOL_DISCARD_SILENCE: Duration = Duration::from_millis(500);
 
-/// Where an attempt goes.
+/// The destination of an attempt.
 pub(crate) struct Target<'a> {
     pub(crate) incarnation: Incarnation,
     pub(crate) addr: SocketAddr,
     /// The path over engines; empty for plain services.
     pub(crate) path: &'a [PathPart],
-    /// The last event that the caller has.
+    /// Id of the last event that the caller has received.
     pub(crate) last_event: Option<u64>,
 }
 
-/// An answer whose head came.
-pub(crate) struct Begun {
+/// An HTTP exchange with an endpoint whose answer head has been received.
+pub(crate) struct Exchange {
     pub(crate) answer: Response<Incoming>,
     pub(crate) head: AnswerHead,
     pub(crate) connection: Connection,
     pub(crate) incarnation: Incarnation,
-    pub(crate) in_flight: InFlight,
+    pub(crate) in_flight: InFlightGuard,
 }
 
-/// An attempt without an answer for the caller.
+/// An attempt that brought no answer for the caller.
 #[derive(Debug)]
-pub(crate) struct Failed {
+pub(crate) struct FailedAttempt {
     pub(crate) evidence: Evidence,
-    /// The endpoint at fault, where the one that was asked named another.
+    /// The endpoint at fault, if the one that received the request named another.
     pub(crate) at_fault: Option<SocketAddr>,
-    /// The endpoint at fault is not the one that was meant, or lacks its part of the path.
+    /// The endpoint at fault is not the intended one, or doesn't hold its part of the path.
     pub(crate) is_misdirected: bool,
-    /// This process was too late to tell whether the endpoint failed.
+    /// This process was itself too slow to conclude that the endpoint failed.
     pub(crate) is_inconclusive: bool,
-    /// What a suspicion of the endpoint rests on, where nothing could be sent.
-    pub(crate) finding: FailureEvidence,
+    /// The evidence for suspecting the endpoint when nothing could be sent.
+    pub(crate) failure_evidence: FailureEvidence,
     pub(crate) why: String,
 }
 
-impl Failed {
-    pub(crate) fn new(evidence: Evidence, why: String) -> Failed {
-        Failed {
+impl FailedAttempt {
+    pub(crate) fn new(evidence: Evidence, why: String) -> FailedAttempt {
+        FailedAttempt {
             evidence,
             at_fault: None,
             is_misdirected: false,
             is_inconclusive: false,
-            finding: FailureEvidence::Refused,
+            failure_evidence: FailureEvidence::Refused,
             why,
         }
     }
 }
 
-/// Counts a request at an endpoint while it lives.
-pub(crate) struct InFlight {
+/// Counts a request as in flight at an endpoint until dropped.
+pub(crate) struct InFlightGuard {
     gateway: Rc<Gateway>,
     incarnation: Incarnation,
     began: Instant,
 }
 
-impl InFlight {
-    fn new(gateway: Rc<Gateway>, incarnation: Incarnation) -> InFlight {
+impl InFlightGuard {
+    fn new(gateway: Rc<Gateway>, incarnation: Incarnation) -> InFlightGuard {
         gateway.uses.borrow_mut().entry(incarnation.clone()).or_default().in_flight += 1;
-        InFlight { gateway, incarnation, began: Instant::now() }
+        InFlightGuard { gateway, incarnation, began: Instant::now() }
     }
 
-    /// The answer came whole.
+    /// Adds the time of a complete answer to the endpoint's mean.
     pub(crate) fn on_answered(&self) {
         let ms = self.began.elapsed().as_secs_f64() * 1e3;
         if let Some(used) = self.gateway.uses.borrow_mut().get_mut(&self.incarnation) {
@@ -94,7 +95,7 @@
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         if let Some(used) = self.gateway.uses.borrow_mut().get_mut(&self.incarnation) {
             used.in_flight = used.in_flight.saturating_sub(1);
@@ -102,86 +103,87 @@
     }
 }
 
-/// Sends a request to one endpoint and waits for the head of its answer, at most `limit`.
+/// Sends a request to one endpoint and waits for the head of its answer for at most `limit`.
 pub(crate) async fn attempt(
     gateway: &Rc<Gateway>,
     call: &Call,
     target: &Target<'_>,
     limit: Duration,
-) -> Result<Begun, Failed> {
-    let in_flight = InFlight::new(Rc::clone(gateway), target.incarnation.clone());
+) -> Result<Exchange, FailedAttempt> {
+    let in_flight = InFlightGuard::new(Rc::clone(gateway), target.incarnation.clone());
     let (answer, connection) = send(gateway, call, target, limit).await?;
     let head = read_answer_head(answer.headers());
-    note_load(gateway, &target.incarnation, &head);
-    check_head(gateway, call, &answer, &head)?;
-    Ok(Begun { answer, head, connection, incarnation: target.incarnation.clone(), in_flight })
+    record_load(gateway, &target.incarnation, &head);
+    check_answer_head(gateway, call, &answer, &head)?;
+    Ok(Exchange { answer, head, connection, incarnation: target.incarnation.clone(), in_flight })
 }
 
-/// Sends a request on kept connections, as long as their endpoint has closed them before, else on a new one.
+/// Sends a request on a pooled connection. If the endpoint has closed it already, tries the next one, and a new one
+/// when the pool is empty.
 async fn send(
     gateway: &Rc<Gateway>,
     call: &Call,
     target: &Target<'_>,
     limit: Duration,
-) -> Result<(Response<Incoming>, Connection), Failed> {
+) -> Result<(Response<Incoming>, Connection), FailedAttempt> {
     let until = Instant::now() + limit;
-    let mut req = request(call, target);
+    let mut req = build_request(call, target);
     loop {
         let (mut connection, is_kept) = connect(gateway, call, target).await?;
-        let silence = Silence::watch(Rc::clone(gateway), target.incarnation.clone());
+        let silence = SilenceWatch::start(Rc::clone(gateway), target.incarnation.clone());
         let Ok(res) = timeout_at(until, connection.sender.try_send_request(req)).await else {
             let why = format!("no answer in {} ms", limit.as_millis());
-            return Err(Failed::new(Evidence::MayHaveRun, why));
+            return Err(FailedAttempt::new(Evidence::MayHaveRun, why));
         };
-        silence.is_over();
+        silence.end();
         let mut err = match res {
             Ok(answer) => return Ok((answer, connection)),
             Err(err) => err,
         };
         req = match err.take_message() {
-            // An endpoint that closes an idle connection is well.
+            // Closing an idle connection is no sign of a failed endpoint.
             Some(unsent) if is_kept => unsent,
-            Some(_) => return Err(Failed::new(Evidence::NotSent, err.error().to_string())),
-            None => return Err(Failed::new(Evidence::MayHaveRun, err.error().to_string())),
+            Some(_) => return Err(FailedAttempt::new(Evidence::NotSent, err.error().to_string())),
+            None => return Err(FailedAttempt::new(Evidence::MayHaveRun, err.error().to_string())),
         };
     }
 }
 
-/// Watches a connection on which a request was sent. Dropped before anything came on it, for whatever reason the attempt is
-/// given up, it takes idle connections of the same age with it. It guards requests after the connections to an endpoint
-/// went silent for good: each one met the next such connection, and was lost to it.
-struct Silence {
+/// Watches a connection on which a request was sent. If it is dropped before anything was received, for whatever reason
+/// the attempt is abandoned, idle connections of the same age are discarded. Otherwise, after the connections to an
+/// endpoint went silent for good, each request would take the next of these connections and be lost on it.
+struct SilenceWatch {
     gateway: Rc<Gateway>,
     incarnation: Incarnation,
     since: Instant,
-    is_over: Cell<bool>,
+    has_ended: Cell<bool>,
 }
 
-impl Silence {
-    fn watch(gateway: Rc<Gateway>, incarnation: Incarnation) -> Silence {
-        Silence { gateway, incarnation, since: Instant::now(), is_over: Cell::new(false) }
+impl SilenceWatch {
+    fn start(gateway: Rc<Gateway>, incarnation: Incarnation) -> SilenceWatch {
+        SilenceWatch { gateway, incarnation, since: Instant::now(), has_ended: Cell::new(false) }
     }
 
-    /// The endpoint answered, or closed the connection.
-    fn is_over(&self) {
-        self.is_over.set(true);
+    /// Ends the silence, as the endpoint answered or closed the connection.
+    fn end(&self) {
+        self.has_ended.set(true);
     }
 }
 
-impl Drop for Silence {
+impl Drop for SilenceWatch {
     fn drop(&mut self) {
-        if !self.is_over.get() && self.since.elapsed() >= SILENT_AFTER {
+        if !self.has_ended.get() && self.since.elapsed() >= POOL_DISCARD_SILENCE {
             self.gateway.pool.borrow_mut().give_up(&self.incarnation, self.since);
         }
     }
 }
 
-/// A connection to an endpoint, and whether it was kept from an earlier request.
+/// Returns a connection to an endpoint, and whether it comes from the pool.
 async fn connect(
     gateway: &Rc<Gateway>,
     call: &Call,
     target: &Target<'_>,
-) -> Result<(Connection, bool), Failed> {
+) -> Result<(Connection, bool), FailedAttempt> {
     let may_repeat = call.route.semantics.may_repeat();
     let kept = gateway.pool.borrow_mut().take(
         &target.incarnation,
@@ -194,24 +196,24 @@
     }
     let began = Instant::now();
     let connection = open(target.addr, &gateway.counters).await;
-    let connection = connection.map_err(|err| not_connected(gateway, &err, began))?;
+    let connection = connection.map_err(|err| connect_failure(gateway, &err, began))?;
     Ok((connection, false))
 }
 
-/// No connection could be made, which was tried from `began` on.
-fn not_connected(gateway: &Gateway, err: &io::Error, began: Instant) -> Failed {
+/// Returns the failure for a connection attempt that started at `began`.
+fn connect_failure(gateway: &Gateway, err: &io::Error, began: Instant) -> FailedAttempt {
     let mut silence = PeerSilence::new(CONNECT_LIMIT);
     let took = began.elapsed();
     silence.on_no_answer(took, took.saturating_sub(gateway.paused_since(began)));
-    let failed = Failed::new(Evidence::NotSent, format!("connect: {err}"));
+    let failed = FailedAttempt::new(Evidence::NotSent, format!("connect: {err}"));
     if err.kind() != ErrorKind::TimedOut {
         return failed;
     }
     let is_inconclusive = !silence.is_evidence();
-    Failed { is_inconclusive, finding: FailureEvidence::NoAnswer, ..failed }
+    FailedAttempt { is_inconclusive, failure_evidence: FailureEvidence::NoAnswer, ..failed }
 }
 
-fn request(call: &Call, target: &Target<'_>) -> Request<Full<Bytes>> {
+fn build_request(call: &Call, target: &Target<'_>) -> Request<Full<Bytes>> {
     let head = AttemptHead {
         time_left: call.caller_time_left(),
         endpoint: &target.incarnation.id,
@@ -228,47 +230,52 @@
     req
 }
 
-fn note_load(gateway: &Gateway, incarnation: &Incarnation, head: &AnswerHead) {
+fn record_load(gateway: &Gateway, incarnation: &Incarnation, head: &AnswerHead) {
     let Some(load) = head.load else { return };
     let mut uses = gateway.uses.borrow_mut();
     let used: &mut EndpointUse = uses.entry(incarnation.clone()).or_default();
     used.told = Some((load, Instant::now()));
 }
 
-/// Sorts out answers that belong to another request, and those that tell that nothing was run.
-fn check_head(
+/// Rejects answers that belong to another request, are not signed, or state that nothing was run.
+fn check_answer_head(
     gateway: &Gateway,
     call: &Call,
     answer: &Response<Incoming>,
     head: &AnswerHead,
-) -> Result<(), Failed> {
+) -> Result<(), FailedAttempt> {
     let status = answer.status();
     if head.request_id.as_deref().is_some_and(|id| id != call.id()) {
         gateway.counters.add(Count::CrossedAnswers);
         warn!("answer of another request dropped", kv: { request = call.id() });
         let why = "the answer belongs to another request".to_owned();
-        return Err(Failed::new(Evidence::MayHaveRun, why));
+        return Err(FailedAttempt::new(Evidence::MayHaveRun, why));
     }
     if head.not_run || status == StatusCode::MISDIRECTED_REQUEST {
-        return Err(Failed {
+        return Err(FailedAttempt {
             at_fault: head.at_fault,
             is_misdirected: status == StatusCode::MISDIRECTED_REQUEST,
-            ..Failed::new(Evidence::NotRun, format!("refused with {}", status.as_u16()))
+            ..FailedAttempt::new(Evidence::NotRun, format!("refused with {}", status.as_u16()))
         });
     }
     if head.request_id.is_none() {
-        let why = "the answer bears no request id".to_owned();
-        return Err(Failed::new(Evidence::MayHaveRun, why));
+        let why = "the answer has no request id".to_owned();
+        return Err(FailedAttempt::new(Evidence::MayHaveRun, why));
     }
     if status.is_success() && !head.is_signed {
-        let why = "the answer bears no signature of its endpoint".to_owned();
-        return Err(Failed::new(Evidence::MayHaveRun, why));
+        let why = "the answer is not signed by its endpoint".to_owned();
+        return Err(FailedAttempt::new(Evidence::MayHaveRun, why));
     }
     Ok(())
 }
 
-/// Logs an attempt that brought no answer.
-pub(crate) fn log_failed(gateway: &Gateway, call: &Call, endpoint: &Incarnation, failed: &Failed) {
+/// Counts and logs an attempt that brought no answer.
+pub(crate) fn log_failed_attempt(
+    gateway: &Gateway,
+    call: &Call,
+    endpoint: &Incarnation,
+    failed: &FailedAttempt,
+) {
     let count = match failed.evidence {
         Evidence::NotRun => Count::AttemptsNotRun,
         Evidence::NotSent | Evidence::MayHaveRun => Count::AttemptsFailed,
--- a/crates/gateway/src/request/final_answer.rs
+++ b/crates/gateway/src/request/final_answer.rs
@@ -1,4 +1,4 @@
-//! What a caller is told in the end: an endpoint's whole answer, or the gateway's own.
+//! Builds the final answer to a caller: an endpoint's complete answer, or the gateway's own refusal.
 
 use crate::process::Count;
 use crate::request::Call;
@@ -10,32 +10,32 @@
 use sorrellock_routing::request::GivenUp;
 use std::time::Duration;
 
-/// An endpoint's answer that came whole, for the caller.
-pub(crate) fn pass_on(endpoint: &Parts, body: Bytes) -> Response<AnswerBody> {
+/// Returns an endpoint's complete answer for the caller.
+pub(crate) fn forward_answer(endpoint: &Parts, body: Bytes) -> Response<AnswerBody> {
     let mut answer = Response::new(AnswerBody::whole(body));
     *answer.status_mut() = endpoint.status;
     *answer.headers_mut() = answer_headers(&endpoint.headers);
     answer
 }
 
-/// An answer of the gateway's own.
-pub(crate) fn refusal(status: StatusCode, come_back: Option<Duration>) -> Response<AnswerBody> {
+/// Returns the gateway's own refusal, with a Retry-After header if `retry_delay` is given.
+pub(crate) fn refusal(status: StatusCode, retry_delay: Option<Duration>) -> Response<AnswerBody> {
     let text = status.canonical_reason().unwrap_or("refused");
     let mut answer = Response::new(AnswerBody::whole(Bytes::from_static(text.as_bytes())));
     *answer.status_mut() = status;
     let headers = answer.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-    if let Some(wait) = come_back {
+    if let Some(wait) = retry_delay {
         headers.insert(header::RETRY_AFTER, retry_after(wait));
     }
     answer
 }
 
-/// The final answer of a request that was given up.
-pub(crate) fn give_up(
+/// Records the end of an abandoned request and returns its final answer.
+pub(crate) fn abandon_call(
     call: &Call,
     given_up: GivenUp,
-    come_back: Duration,
+    retry_delay: Duration,
     why: &str,
 ) -> Response<AnswerBody> {
     let (count, outcome, status) = match given_up {
@@ -43,6 +43,6 @@
         GivenUp::Unknown => (Count::Unknown, "may have run", StatusCode::BAD_GATEWAY),
         GivenUp::TimedOut => (Count::TimedOut, "may have run", StatusCode::GATEWAY_TIMEOUT),
     };
-    call.end.tell(count, outcome, status.as_u16(), why);
-    refusal(status, (given_up == GivenUp::NotRun).then_some(come_back))
+    call.end.report(count, outcome, status.as_u16(), why);
+    refusal(status, (given_up == GivenUp::NotRun).then_some(retry_delay))
 }
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -1,19 +1,19 @@
-//! What lives as long as one request.
+//! State and tasks of one request.
 
-mod answer;
 mod attempt;
 mod call;
-mod expected;
+mod estimate;
 mod final_answer;
 mod plain;
 mod relay;
+mod request_handler;
 mod run;
 mod run_search;
 mod running_attempts;
 mod stream;
 
-pub(crate) use answer::*;
 pub(crate) use attempt::*;
 pub(crate) use call::*;
 pub(crate) use final_answer::*;
+pub(crate) use request_handler::*;
 pub(crate) use running_attempts::*;
--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -1,9 +1,9 @@
-//! Requests to plain services: one endpoint runs them whole.
+//! Serves requests to plain services, where one endpoint runs the whole request.
 
 use crate::process::{Count, Gateway, check_refuser};
 use crate::request::{
-    AttemptEvent, AttemptInfo, Begun, Call, Failed, RunningAttempts, Target, attempt, give_up,
-    log_failed, pass_on,
+    AttemptEvent, AttemptInfo, Call, Exchange, FailedAttempt, RunningAttempts, Target,
+    abandon_call, attempt, forward_answer, log_failed_attempt,
 };
 use bytes::Bytes;
 use http::Response;
@@ -19,81 +19,83 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// Largest body of an answer.
+/// Maximum size of the body of an answer.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
-/// When to come back where no endpoint took the request.
+/// Retry-After if no endpoint accepted the request.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
-/// How often an overdue attempt looks for another endpoint, where there was none or no retry was left.
-const OVERDUE_TICK: Duration = Duration::from_millis(100);
-/// What a load told before is still worth: after this the endpoint's own queue has turned over.
-const LOAD_FRESH: Duration = Duration::from_millis(1_000);
-/// What each request there counts for an endpoint of another data centre, in requests.
-const OTHER_DATA_CENTRE: f64 = 0.5;
+/// How often an overdue attempt looks for another endpoint after none was available or no retry was left.
+const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum age of a load report in use: after this time the endpoint's queue has turned over.
+const LOAD_MAX_AGE: Duration = Duration::from_millis(1_000);
+/// Penalty for an endpoint of another data centre, in requests.
+const OTHER_DATA_CENTRE_PENALTY: f64 = 0.5;
 
-/// Serves a request of a plain service.
+/// Serves a request to a plain service.
 pub(crate) async fn serve_plain(
     gateway: Rc<Gateway>,
     call: Call,
 ) -> Result<Response<AnswerBody>, Cut> {
-    let mut progress = Progress::new(&call);
+    let mut call_attempts = CallAttempts::new(&call);
     let mut running = RunningAttempts::new();
     loop {
         if running.is_empty() {
-            let Some((endpoint, permit)) = progress.next_endpoint(&gateway, &call) else { break };
-            let info = progress.begin(&gateway, &call, &endpoint, permit);
-            running.push(info, run(&gateway, &call, endpoint));
+            let Some((endpoint, permit)) = call_attempts.next_endpoint(&gateway, &call) else {
+                break;
+            };
+            let info = call_attempts.start_attempt(&gateway, &call, &endpoint, permit);
+            running.push(info, run_attempt(&gateway, &call, endpoint));
         }
         let event = tokio::select! {
             biased;
             event = running.next() => event,
             () = gateway.ending() => {
-                let failed = give_up_at_end(&call);
-                running.infos().for_each(|info| progress.on_failed(&gateway, &call, info, &failed));
+                let failed = abandon_at_shutdown(&call);
+                running.infos().for_each(|info| call_attempts.on_failed(&gateway, &call, info, &failed));
                 break;
             }
         };
         match event {
             AttemptEvent::Ended(info, Ok(answer)) => {
-                if !progress.is_worth_another(&call, &info, &answer, !running.is_empty()) {
-                    note_end(&gateway, &info, end_of(&answer));
-                    running
-                        .infos()
-                        .for_each(|info| note_end(&gateway, info, end_of_abandoned(info)));
-                    return Ok(done(&call, &info.endpoint, answer));
+                if !call_attempts.should_try_another(&call, &info, &answer, !running.is_empty()) {
+                    report_attempt_end(&gateway, &info, attempt_end(&answer));
+                    running.infos().for_each(|info| {
+                        report_attempt_end(&gateway, info, abandoned_attempt_end(info))
+                    });
+                    return Ok(record_answered(&call, &info.endpoint, answer));
                 }
-                note_end(&gateway, &info, AttemptEnd::Failure);
-                progress.on_failure_answered(&info, answer);
+                report_attempt_end(&gateway, &info, AttemptEnd::Failure);
+                call_attempts.on_error_answered(&info, answer);
             }
             AttemptEvent::Ended(info, Err(failed)) => {
-                progress.on_failed(&gateway, &call, &info, &failed);
+                call_attempts.on_failed(&gateway, &call, &info, &failed);
             }
-            // The attempt goes on: the next one may be refused, or bring no answer either.
+            // The attempt stays open: the next one may be refused, or bring no answer either.
             AttemptEvent::Overdue(under_way) => {
-                match progress.next_beside(&gateway, &call, under_way) {
+                match call_attempts.next_hedge(&gateway, &call, under_way) {
                     Some((endpoint, permit)) => {
-                        let info = progress.begin(&gateway, &call, &endpoint, permit);
-                        running.push(info, run(&gateway, &call, endpoint));
+                        let info = call_attempts.start_attempt(&gateway, &call, &endpoint, permit);
+                        running.push(info, run_attempt(&gateway, &call, endpoint));
                     }
-                    None => under_way.overdue_at = Some(Instant::now() + OVERDUE_TICK),
+                    None => under_way.overdue_at = Some(Instant::now() + OVERDUE_CHECK_INTERVAL),
                 }
             }
         }
     }
-    Ok(progress.give_up(&call))
+    Ok(call_attempts.final_answer(&call))
 }
 
-/// What became of a call's attempts so far.
-struct Progress {
+/// The state of a call's attempts.
+struct CallAttempts {
     attempts: Attempts,
     tried: Vec<Incarnation>,
     why: String,
-    /// An endpoint's own failure, for the caller if nothing better comes.
+    /// An endpoint's error answer, returned to the caller if no attempt succeeds.
     last_failure: Option<(Response<AnswerBody>, Incarnation)>,
 }
 
-impl Progress {
-    fn new(call: &Call) -> Progress {
-        Progress {
+impl CallAttempts {
+    fn new(call: &Call) -> CallAttempts {
+        CallAttempts {
             attempts: Attempts::new(call.route.semantics, call.route.max_attempts),
             tried: Vec::new(),
             why: "no endpoint is known".to_owned(),
@@ -101,12 +103,13 @@
         }
     }
 
-    /// The endpoint of the next attempt, its retry paid; none if no attempt may follow.
+    /// Chooses the endpoint of the next attempt, and charges the retry budget if it is a repeat. `None` if no attempt
+    /// may follow.
     fn next_endpoint(&mut self, gateway: &Gateway, call: &Call) -> Option<(Endpoint, Permit)> {
         if !self.attempts.may_send() || call.time_left().is_zero() || gateway.is_ending() {
             return None;
         }
-        let chosen = choose(gateway, call, &self.tried)?;
+        let chosen = choose_endpoint(gateway, call, &self.tried)?;
         if self.attempts.is_repeat() && !gateway.spend_repeat(&call.service) {
             self.why = format!("{}; the retry budget is spent", self.why);
             return None;
@@ -114,8 +117,8 @@
         Some(chosen)
     }
 
-    /// The same for an attempt beside one that is overdue, which then counts as one that may have run.
-    fn next_beside(
+    /// Does the same for an attempt in parallel with an overdue one, which then counts as one that may have run.
+    fn next_hedge(
         &mut self,
         gateway: &Gateway,
         call: &Call,
@@ -125,11 +128,12 @@
         if !under_way.is_overdue {
             after.on_failed(&under_way.endpoint, Evidence::MayHaveRun);
         }
-        // Without an endpoint nothing is paid, and without a retry no refusal is counted at each look.
+        // The retry budget is charged only once an endpoint is found. It is checked first, as a refused charge would
+        // be counted at each check.
         if !after.may_send() || !gateway.may_repeat(&call.service) {
             return None;
         }
-        let chosen = choose(gateway, call, &self.tried)?;
+        let chosen = choose_endpoint(gateway, call, &self.tried)?;
         if !gateway.spend_repeat(&call.service) {
             return None;
         }
@@ -142,7 +146,7 @@
         Some(chosen)
     }
 
-    fn begin(
+    fn start_attempt(
         &mut self,
         gateway: &Gateway,
         call: &Call,
@@ -164,36 +168,38 @@
         gateway: &Rc<Gateway>,
         call: &Call,
         info: &AttemptInfo,
-        failed: &Failed,
+        failed: &FailedAttempt,
     ) {
         let end = if failed.is_inconclusive { AttemptEnd::Neutral } else { AttemptEnd::Failure };
-        note_end(gateway, info, end);
-        log_failed(gateway, call, &info.endpoint, failed);
-        self.note_failed(info, failed.evidence);
+        report_attempt_end(gateway, info, end);
+        log_failed_attempt(gateway, call, &info.endpoint, failed);
+        self.record_failed(info, failed.evidence);
         match failed.evidence {
             Evidence::NotSent if failed.is_inconclusive => {}
-            Evidence::NotSent => gateway.suspect(&info.endpoint, failed.finding, &failed.why),
-            Evidence::NotRun => check_endpoint(gateway, &info.endpoint),
+            Evidence::NotSent => {
+                gateway.suspect(&info.endpoint, failed.failure_evidence, &failed.why)
+            }
+            Evidence::NotRun => check_refusing_endpoint(gateway, &info.endpoint),
             Evidence::MayHaveRun => {}
         }
         self.why = format!("{}: {}", info.endpoint.id, failed.why);
     }
 
-    fn on_failure_answered(&mut self, info: &AttemptInfo, answer: Response<AnswerBody>) {
-        self.note_failed(info, Evidence::MayHaveRun);
+    fn on_error_answered(&mut self, info: &AttemptInfo, answer: Response<AnswerBody>) {
+        self.record_failed(info, Evidence::MayHaveRun);
         self.why = format!("{} answered {}", info.endpoint.id, answer.status());
         self.last_failure = Some((answer, info.endpoint.clone()));
     }
 
-    fn note_failed(&mut self, info: &AttemptInfo, evidence: Evidence) {
-        // An overdue attempt was counted as its successor began.
+    fn record_failed(&mut self, info: &AttemptInfo, evidence: Evidence) {
+        // An overdue attempt was counted when its successor started.
         if !info.is_overdue {
             self.attempts.on_failed(&info.endpoint, evidence);
         }
     }
 
-    /// Whether an answer is an endpoint's own failure of an idempotent request, and another endpoint may do better.
-    fn is_worth_another(
+    /// Returns whether an answer is an endpoint's error for an idempotent request which another endpoint may answer.
+    fn should_try_another(
         &self,
         call: &Call,
         info: &AttemptInfo,
@@ -205,48 +211,56 @@
             && (is_other_running || may_follow(call, &self.attempts, &info.endpoint))
     }
 
-    fn give_up(self, call: &Call) -> Response<AnswerBody> {
+    fn final_answer(self, call: &Call) -> Response<AnswerBody> {
         match self.last_failure {
-            // The endpoint's own failure, signed, tells more than one of the gateway's.
-            Some((answer, endpoint)) => done(call, &endpoint, answer),
+            // The endpoint's signed error is more specific than the gateway's own.
+            Some((answer, endpoint)) => record_answered(call, &endpoint, answer),
             None => {
                 let given_up = self.attempts.given_up(call.time_left().is_zero());
-                give_up(call, given_up, RETRY_AFTER, &self.why)
+                abandon_call(call, given_up, RETRY_AFTER, &self.why)
             }
         }
     }
 }
 
-/// Gives up an attempt as this gateway ends before its answer.
-fn give_up_at_end(call: &Call) -> Failed {
-    call.end.tell_cut_leaving();
-    Failed::new(Evidence::MayHaveRun, "this gateway ends before the answer".to_owned())
+/// Returns the failure of an attempt that this gateway abandons at shutdown.
+fn abandon_at_shutdown(call: &Call) -> FailedAttempt {
+    call.end.report_cut_leaving();
+    FailedAttempt::new(Evidence::MayHaveRun, "this gateway ends before the answer".to_owned())
 }
 
-fn done(call: &Call, endpoint: &Incarnation, answer: Response<AnswerBody>) -> Response<AnswerBody> {
+fn record_answered(
+    call: &Call,
+    endpoint: &Incarnation,
+    answer: Response<AnswerBody>,
+) -> Response<AnswerBody> {
     let why = format!("answered by {}", endpoint.id);
-    call.end.tell(Count::Answered, "answered", answer.status().as_u16(), &why);
+    call.end.report(Count::Answered, "answered", answer.status().as_u16(), &why);
     answer
 }
 
-/// An endpoint refused the call as not run: asks it whether it leaves.
-fn check_endpoint(gateway: &Rc<Gateway>, endpoint: &Incarnation) {
+/// Asks an endpoint that refused the call as not run whether it is leaving.
+fn check_refusing_endpoint(gateway: &Rc<Gateway>, endpoint: &Incarnation) {
     let addr = gateway.knowledge.borrow().endpoint(&endpoint.id).map(|endpoint| endpoint.addr);
     if let Some(addr) = addr {
         check_refuser(gateway, addr, false);
     }
 }
 
-/// Whether an attempt could follow the next one, if that brings no answer.
+/// Returns whether another attempt may follow one at `endpoint` that brings no answer.
 fn may_follow(call: &Call, attempts: &Attempts, endpoint: &Incarnation) -> bool {
     let mut after = attempts.clone();
     after.on_failed(endpoint, Evidence::MayHaveRun);
     call.route.semantics.may_repeat() && after.may_send()
 }
 
-/// The endpoint with the least work that wasn't tried. Those that fail are passed over while
-/// there are others.
-fn choose(gateway: &Gateway, call: &Call, tried: &[Incarnation]) -> Option<(Endpoint, Permit)> {
+/// Chooses the untried endpoint with the least expected load. Suspect endpoints and those whose circuit breaker refuses
+/// are used only if there are no others.
+fn choose_endpoint(
+    gateway: &Gateway,
+    call: &Call,
+    tried: &[Incarnation],
+) -> Option<(Endpoint, Permit)> {
     let now = Instant::now();
     let knowledge = gateway.knowledge.borrow();
     let beliefs = gateway.beliefs.borrow();
@@ -257,10 +271,10 @@
         .filter(|endpoint| !tried.contains(&endpoint.incarnation()))
         .filter(|endpoint| !gateway.has_ended(&endpoint.incarnation()))
         .collect();
-    let work = |endpoint: &Endpoint| work(gateway, endpoint, now);
+    let expected_load = |endpoint: &Endpoint| expected_load(gateway, endpoint, now);
     open.sort_by(|a, b| {
         let suspect = |endpoint: &Endpoint| beliefs.is_suspect(&endpoint.incarnation(), now);
-        suspect(a).cmp(&suspect(b)).then_with(|| work(a).total_cmp(&work(b)))
+        suspect(a).cmp(&suspect(b)).then_with(|| expected_load(a).total_cmp(&expected_load(b)))
     });
     let mut breakers = gateway.breakers.borrow_mut();
     for endpoint in &open {
@@ -272,23 +286,23 @@
     Some((first.clone(), breakers.force(&first.incarnation())))
 }
 
-/// Expected work before a new request, in requests.
-fn work(gateway: &Gateway, endpoint: &Endpoint, now: Instant) -> f64 {
+/// Returns the load that a new request is expected to meet, in requests.
+fn expected_load(gateway: &Gateway, endpoint: &Endpoint, now: Instant) -> f64 {
     let used = gateway.uses.borrow().get(&endpoint.incarnation()).copied().unwrap_or_default();
-    let told = used.told.filter(|(_, at)| now - *at < LOAD_FRESH);
-    let told = told.map_or(0.0, |(load, _)| f64::from(load.running + load.waiting));
+    let reported = used.told.filter(|(_, at)| now - *at < LOAD_MAX_AGE);
+    let reported = reported.map_or(0.0, |(load, _)| f64::from(load.running + load.waiting));
     let is_near = endpoint.data_centre == gateway.settings.data_centre;
-    let distance = if is_near { 0.0 } else { OTHER_DATA_CENTRE };
+    let distance = if is_near { 0.0 } else { OTHER_DATA_CENTRE_PENALTY };
     let slowness = used.mean_ms.max(1.0).ln();
-    told.max(f64::from(used.in_flight)) + f64::from(used.in_flight) * 0.1 + distance + slowness
+    reported.max(f64::from(used.in_flight)) + f64::from(used.in_flight) * 0.1 + distance + slowness
 }
 
-/// Runs a request at one endpoint and reads its answer whole, within the time that is left.
-async fn run(
+/// Runs a request at one endpoint and reads the complete answer within the time left.
+async fn run_attempt(
     gateway: &Rc<Gateway>,
     call: &Call,
     endpoint: Endpoint,
-) -> Result<Response<AnswerBody>, Failed> {
+) -> Result<Response<AnswerBody>, FailedAttempt> {
     let limit = call.time_left();
     let known = gateway.endpoints_known();
     info!("request sent", kv: {
@@ -298,49 +312,55 @@
     let until = Instant::now() + limit;
     let incarnation = endpoint.incarnation();
     let target = Target { incarnation, addr: endpoint.addr, path: &[], last_event: None };
-    let begun = attempt(gateway, call, &target, limit).await?;
+    let exchange = attempt(gateway, call, &target, limit).await?;
     gateway.counters.first_byte.record(call.arrived.elapsed());
-    read_whole(gateway, begun, until).await
+    read_whole(gateway, exchange, until).await
 }
 
 async fn read_whole(
     gateway: &Rc<Gateway>,
-    begun: Begun,
+    exchange: Exchange,
     until: Instant,
-) -> Result<Response<AnswerBody>, Failed> {
-    let (parts, body) = begun.answer.into_parts();
-    let no_answer = |why: String| Failed::new(Evidence::MayHaveRun, why);
+) -> Result<Response<AnswerBody>, FailedAttempt> {
+    let (parts, body) = exchange.answer.into_parts();
+    let no_answer = |why: String| FailedAttempt::new(Evidence::MayHaveRun, why);
     let left = until.saturating_duration_since(Instant::now());
     let body = timeout(left, Limited::new(body, MAX_ANSWER_BYTES).collect()).await;
-    let body = body.map_err(|_| no_answer("the answer did not come whole in time".to_owned()))?;
+    let body = body.map_err(|_| no_answer("the answer was not complete in time".to_owned()))?;
     let body: Bytes =
-        body.map_err(|err| no_answer(format!("the answer broke off: {err}")))?.to_bytes();
-    begun.in_flight.on_answered();
+        body.map_err(|err| no_answer(format!("the answer was cut off: {err}")))?.to_bytes();
+    exchange.in_flight.on_answered();
     let head = read_answer_head(&parts.headers);
-    gateway.pool.borrow_mut().keep(begun.incarnation, begun.connection, &head, Instant::now());
-    Ok(pass_on(&parts, body))
+    gateway.pool.borrow_mut().keep(
+        exchange.incarnation,
+        exchange.connection,
+        &head,
+        Instant::now(),
+    );
+    Ok(forward_answer(&parts, body))
 }
 
-fn end_of(answer: &Response<AnswerBody>) -> AttemptEnd {
+fn attempt_end(answer: &Response<AnswerBody>) -> AttemptEnd {
     match answer.status().is_server_error() {
         true => AttemptEnd::Failure,
         false => AttemptEnd::Success,
     }
 }
 
-/// An overdue attempt was slower than one that began later.
-fn end_of_abandoned(info: &AttemptInfo) -> AttemptEnd {
+/// Returns the end of an attempt abandoned for another one's answer: a failure if it is overdue, as it was slower than
+/// one that started later.
+fn abandoned_attempt_end(info: &AttemptInfo) -> AttemptEnd {
     match info.is_overdue {
         true => AttemptEnd::Failure,
         false => AttemptEnd::Neutral,
     }
 }
 
-/// Reports to the endpoint's breaker how an attempt ended.
-fn note_end(gateway: &Gateway, info: &AttemptInfo, end: AttemptEnd) {
+/// Reports to the endpoint's circuit breaker how an attempt ended.
+fn report_attempt_end(gateway: &Gateway, info: &AttemptInfo, end: AttemptEnd) {
     let endpoint = &info.endpoint;
     if let Some(state) = gateway.breakers.borrow_mut().on_end(endpoint, info.permit, end) {
         let state = format!("{state:?}");
-        info!("breaker changed", kv: { endpoint = endpoint.id.as_str(), state = state.as_str() });
+        info!("circuit breaker state changed", kv: { endpoint = endpoint.id.as_str(), state = state.as_str() });
     }
 }
--- a/crates/gateway/src/request/relay/failover.rs
+++ b/crates/gateway/src/request/relay/failover.rs
@@ -1,13 +1,13 @@
-//! A stream whose run is over or in doubt goes on in another run.
+//! Continues a stream in another run when its own has ended or is suspect.
 //!
-//! A run that is only in doubt stays open until another one has begun: its engine may have paused, and another run may
-//! not be had.
+//! A run that is only suspect stays open until another one has started: its engine may only have paused, and another
+//! run may not be possible.
 
-use super::relay::{CALLER_PATIENCE, Flow, OnPath, Relay, STREAM_SILENCE};
-use super::repath::{LeaveBroken, Repath};
+use super::relay::{CALLER_PAUSE_LIMIT, Flow, PathState, Relay, STREAM_SILENCE_LIMIT};
+use super::repath::{MoveOff, Repath};
 use crate::process::{Count, LivePath, check_first, check_path};
-use crate::request::run::{NotBegun, Run, has_other_path};
-use crate::request::run_search::begin;
+use crate::request::run::{NotStarted, Run, has_other_path};
+use crate::request::run_search::start_run;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Frame;
@@ -18,49 +18,50 @@
 use std::rc::Rc;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// When another run may begin.
+/// When another run may start.
 #[derive(Clone, Copy)]
-struct Window {
+struct StartWindow {
     from: Instant,
     until: Instant,
-    /// Sooner as well, where capacity is freed.
+    /// May also start before `from`, as soon as capacity is freed.
     awaits_capacity: bool,
 }
 
-/// What ends a try to begin another run.
-enum Tried {
+/// The outcome of a try to start another run.
+enum TryOutcome {
     Began(Box<Run>),
-    NotBegun(NotBegun),
-    /// The run in doubt brought bytes.
+    NotStarted(NotStarted),
+    /// The suspect run delivered bytes.
     Chunk(Bytes),
-    /// The run in doubt ended in order.
+    /// The suspect run ended regularly.
     Complete,
-    /// The run in doubt is over, and no other one may begin for the doubt.
+    /// The suspect run broke, and no other one may be started on the suspicion alone.
     Broke(RunFault),
-    /// Another stream got an event over the path of the run in doubt.
+    /// Another stream got an event over the path of the suspect run.
     Restored,
     CallerGone,
-    TimeOver,
+    DeadlinePassed,
 }
 
 impl Relay {
-    /// The run is over or in doubt: looks for another one.
+    /// Looks for another run, as the current one has ended or is suspect.
     pub(super) async fn fail_over(&mut self, fault: RunFault) -> Flow {
         self.log_fault(&fault);
-        self.note_fault(&fault);
+        self.handle_fault(&fault);
         if fault.evidence() == FaultEvidence::Connection {
             self.drop_run();
         }
-        self.seek_run(&fault.to_string()).await
+        self.find_run(&fault.to_string()).await
     }
 
-    /// What follows for others: for idle connections that may be as silent, and for the engines of the path.
-    fn note_fault(&mut self, fault: &RunFault) {
+    /// Applies a fault beyond this stream: discards idle connections that may be silent too, and has the path's engines
+    /// checked.
+    fn handle_fault(&mut self, fault: &RunFault) {
         self.attempts.abandon();
         let Some(run) = &self.run else { return };
         let live = &run.place.live;
         let first = &live.path.first().incarnation;
-        if !live.is_broken() && self.last_event.elapsed() >= STREAM_SILENCE {
+        if !live.is_broken() && self.last_event.elapsed() >= STREAM_SILENCE_LIMIT {
             self.gateway.pool.borrow_mut().give_up(first, self.last_event);
         }
         match fault.evidence() {
@@ -69,7 +70,7 @@
         }
         let has_broken_off = matches!(fault, RunFault::ConnectionBroke(_));
         if has_broken_off && !self.gateway.is_listed(first) {
-            // An engine without an entry that breaks off has ended.
+            // An engine that has no entry and closed the connection has ended.
             self.attempts.forget_lost(|incarnation| incarnation == first);
         }
         if !self.avoid.iter().any(|other| Rc::ptr_eq(other, live)) {
@@ -77,78 +78,89 @@
         }
     }
 
-    /// The run is over. The engine stops its work as its connection closes.
+    /// Drops the run. The engine stops its work when its connection closes.
     fn drop_run(&mut self) {
         self.run = None;
         self.repath = Repath::default();
-        self.on_path = OnPath::Served;
+        self.path_state = PathState::Serving;
         self.events.restart();
     }
 
-    /// Looks for another run, while the one in doubt may still go on.
-    async fn seek_run(&mut self, why: &str) -> Flow {
+    /// Looks for another run, while a suspect one may still recover.
+    async fn find_run(&mut self, why: &str) -> Flow {
         let now = Instant::now();
-        let until = (self.last_event + CALLER_PATIENCE).max(now).min(self.call.deadline);
-        let mut window = Window { from: now, until, awaits_capacity: false };
+        let until = (self.last_event + CALLER_PAUSE_LIMIT).max(now).min(self.call.deadline);
+        let mut window = StartWindow { from: now, until, awaits_capacity: false };
         let mut may_try = self.call.route.semantics.may_repeat();
         loop {
-            let not_begun = match self.try_run(may_try, window).await {
-                Tried::Began(run) => return self.take_run(*run),
-                Tried::Chunk(chunk) => return self.on_sign_of_incarnation(chunk).await,
-                Tried::Complete => return Flow::Complete,
-                // What ruled out another run for the doubt may not hold any more.
-                Tried::Broke(fault) => return Box::pin(self.fail_over(fault)).await,
-                Tried::Restored => return self.keep_run(),
-                Tried::CallerGone => return Flow::Over,
-                Tried::TimeOver => return self.cut(Count::TimedOut, "its time is over"),
-                Tried::NotBegun(not_begun) => not_begun,
+            let not_started = match self.try_start_run(may_try, window).await {
+                TryOutcome::Began(run) => return self.replace_run(*run),
+                TryOutcome::Chunk(chunk) => return self.withdraw_failover(chunk).await,
+                TryOutcome::Complete => return Flow::Complete,
+                // Whatever prevented another run while this one was only suspect may no longer apply.
+                TryOutcome::Broke(fault) => return Box::pin(self.fail_over(fault)).await,
+                TryOutcome::Restored => return self.keep_run(),
+                TryOutcome::CallerGone => return Flow::Stopped,
+                TryOutcome::DeadlinePassed => {
+                    return self.cut(Count::TimedOut, "its deadline has passed");
+                }
+                TryOutcome::NotStarted(not_started) => not_started,
             };
             let (has_run, now) = (self.run.is_some(), Instant::now());
-            match after_no_run(has_run, cause(&not_begun), now.into_std(), until.into_std()) {
+            match after_no_run(
+                has_run,
+                no_run_reason(&not_started),
+                now.into_std(),
+                until.into_std(),
+            ) {
                 FailoverStep::Retry(wait) => {
-                    if self.moves_off_broken_path() {
-                        return Flow::GoesOn;
+                    if self.try_move_off_broken_path() {
+                        return Flow::Continue;
                     }
-                    // Layers may be loaded, or a path have capacity again, by then.
+                    // By then layers may be loaded, or a path may have capacity again.
                     self.avoid.retain(|live| live.is_broken());
                     window.from = now + wait;
-                    window.awaits_capacity = cause(&not_begun) == NoRun::NoCapacity;
+                    window.awaits_capacity = no_run_reason(&not_started) == NoRun::NoCapacity;
                 }
                 FailoverStep::KeepRun => {
-                    let no_run = cause(&not_begun);
+                    let no_run = no_run_reason(&not_started);
                     info!("failover not possible, run kept", kv: {
                         request = self.call.id(), why, cause:? = no_run
                     });
                     may_try = false;
                 }
-                FailoverStep::Abort => return self.abort(why, &not_begun),
+                FailoverStep::Abort => return self.abort(why, &not_started),
             }
         }
     }
 
-    /// Begins another run within the window, unless the one in doubt shows that it goes on.
-    async fn try_run(&mut self, may_try: bool, window: Window) -> Tried {
+    /// Starts another run within the window, unless the suspect one recovers before that.
+    async fn try_start_run(&mut self, may_try: bool, window: StartWindow) -> TryOutcome {
         let may_begin = may_try && self.gateway.may_resume();
         if !may_begin && self.run.is_none() {
-            return Tried::NotBegun(if may_try { NotBegun::Ending } else { NotBegun::Spent });
+            return TryOutcome::NotStarted(if may_try {
+                NotStarted::Ending
+            } else {
+                NotStarted::RetriesExhausted
+            });
         }
-        let last = self.events.last();
+        let last_event = self.events.last();
         let Relay { gateway, call, attempts, avoid, run, tx, events, .. } = self;
-        // A run in doubt may be moved to a path that appears meanwhile: no long wait for capacity.
+        // A suspect run can be moved to a path that appears meanwhile, so it doesn't wait long for capacity.
         let capacity_until = if run.is_some() { window.from } else { window.until };
         let deadline = call.deadline;
-        let tried = {
-            let mut beginning = pin!(async {
+        let outcome = {
+            let mut starting = pin!(async {
                 if !may_begin {
                     return pending().await;
                 }
                 let freed = gateway.paths.borrow().freed();
                 match window.awaits_capacity {
-                    // Either is a reason to look.
+                    // Both the time and freed capacity are reasons to try again.
                     true => drop(timeout_at(window.from, freed.notified()).await),
                     false => sleep_until(window.from).await,
                 }
-                begin(gateway, call, attempts, last, avoid, capacity_until).await
+                start_run(gateway, call, attempts, last_event, avoid, capacity_until).await
             });
             loop {
                 let broken = run.as_ref().map(|run| &run.place.live);
@@ -156,49 +168,49 @@
                 tokio::select! {
                     biased;
                     frame = next_frame(run) => match frame {
-                        Some(Ok(frame)) => break Tried::Chunk(frame.into_data().unwrap_or_default()),
-                        None if !events.has_partial() => break Tried::Complete,
-                        ended if !may_begin => break Tried::Broke(fault_of_end(ended)),
+                        Some(Ok(frame)) => break TryOutcome::Chunk(frame.into_data().unwrap_or_default()),
+                        None if !events.has_partial() => break TryOutcome::Complete,
+                        ended if !may_begin => break TryOutcome::Broke(fault_from_end(ended)),
                         None | Some(Err(_)) => {
-                            // It is over after all; what has been sent elsewhere goes on.
+                            // The suspect run has ended; the attempt already sent elsewhere continues.
                             *run = None;
                             events.restart();
                         }
                     },
-                    () = tx.closed() => break Tried::CallerGone,
-                    began = &mut beginning => match began {
-                        Ok(run) => break Tried::Began(Box::new(run)),
-                        Err(not_begun) => break Tried::NotBegun(not_begun),
+                    () = tx.closed() => break TryOutcome::CallerGone,
+                    began = &mut starting => match began {
+                        Ok(run) => break TryOutcome::Began(Box::new(run)),
+                        Err(not_started) => break TryOutcome::NotStarted(not_started),
                     },
-                    () = restored(broken) => break Tried::Restored,
-                    () = sleep_until(deadline) => break Tried::TimeOver,
+                    () = restored(broken) => break TryOutcome::Restored,
+                    () = sleep_until(deadline) => break TryOutcome::DeadlinePassed,
                 }
             }
         };
-        if !matches!(tried, Tried::Began(_)) {
+        if !matches!(outcome, TryOutcome::Began(_)) {
             self.attempts.abandon();
         }
-        tried
+        outcome
     }
 
-    /// Has the first engine move the run off its broken path, where another path begins there by now.
-    fn moves_off_broken_path(&mut self) -> bool {
+    /// Orders the first engine to move the run off its broken path, if another path starts there by now.
+    fn try_move_off_broken_path(&mut self) -> bool {
         let Some(run) = &self.run else { return false };
         let live = Rc::clone(&run.place.live);
         if !live.is_broken() {
             return false;
         }
         let now = Instant::now();
-        let leave = self.repath.leave_broken(&self.gateway, &self.call, &live, now);
-        let is_ordered = matches!(leave, LeaveBroken::Ordered);
+        let move_off = self.repath.move_off_broken(&self.gateway, &self.call, &live, now);
+        let is_ordered = matches!(move_off, MoveOff::Ordered);
         if is_ordered {
-            self.on_path = OnPath::LeavesBroken;
+            self.path_state = PathState::MovingOff;
         }
         is_ordered
     }
 
-    /// Another run has begun: only now the one before is over.
-    fn take_run(&mut self, run: Run) -> Flow {
+    /// Replaces the run by one that has started. The old run is dropped only now.
+    fn replace_run(&mut self, run: Run) -> Flow {
         self.drop_run();
         self.failovers += 1;
         self.gateway.counters.add(Count::Resumed);
@@ -210,43 +222,43 @@
         self.run_began = Instant::now();
         run.place.live.last_event.set(self.run_began);
         self.run = Some(run);
-        Flow::GoesOn
+        Flow::Continue
     }
 
-    /// The run in doubt brought bytes.
-    async fn on_sign_of_incarnation(&mut self, chunk: Bytes) -> Flow {
+    /// Keeps the suspect run, as it delivered bytes.
+    async fn withdraw_failover(&mut self, chunk: Bytes) -> Flow {
         let silent_ms = self.last_event.elapsed().as_millis() as u64;
         info!("failover withdrawn, the run goes on", kv: { request = self.call.id(), silent_ms });
         self.gateway.counters.add(Count::FailoversWithdrawn);
         self.keep_run();
-        self.pass_on(chunk).await
+        self.forward(chunk).await
     }
 
     fn keep_run(&mut self) -> Flow {
-        self.on_path = OnPath::Served;
+        self.path_state = PathState::Serving;
         if let Some(run) = &self.run {
             self.avoid.retain(|live| !Rc::ptr_eq(live, &run.place.live));
         }
-        Flow::GoesOn
+        Flow::Continue
     }
 
-    /// Ends a stream that has no run before its last event.
-    fn abort(&self, why: &str, not_begun: &NotBegun) -> Flow {
-        if matches!(not_begun, NotBegun::Ending) {
-            self.call.end.tell_cut_leaving();
+    /// Cuts a stream that is left without a run.
+    fn abort(&self, why: &str, not_started: &NotStarted) -> Flow {
+        if matches!(not_started, NotStarted::Ending) {
+            self.call.end.report_cut_leaving();
         }
-        let then = match not_begun {
+        let then = match not_started {
             _ if !self.call.route.semantics.may_repeat() => "it may not be resumed".to_owned(),
-            NotBegun::NoPlace(none) => format!("no place: {none:?}"),
-            NotBegun::Spent => "no further attempt was left".to_owned(),
-            NotBegun::TimeOver => "its time was over".to_owned(),
-            NotBegun::Ending => "this gateway ends before another run pays".to_owned(),
-            NotBegun::Failure(_) => "an engine failed".to_owned(),
+            NotStarted::NoPlace(none) => format!("no place: {none:?}"),
+            NotStarted::RetriesExhausted => "no further attempt was left".to_owned(),
+            NotStarted::DeadlinePassed => "its deadline had passed".to_owned(),
+            NotStarted::Ending => "this gateway ends before another run is worthwhile".to_owned(),
+            NotStarted::ErrorAnswer(_) => "an engine failed".to_owned(),
         };
         self.cut(Count::Cut, &format!("{why}; then {then}"))
     }
 
-    /// Logs what the doubt of a run rests on, with what is known of its engines and of other paths.
+    /// Logs why a run is suspect, with what is known of its engines and of other paths.
     fn log_fault(&self, fault: &RunFault) {
         let gateway = &self.gateway;
         let why = fault.to_string();
@@ -258,10 +270,10 @@
         });
         let live = self.run.as_ref().map(|run| &run.place.live);
         let parts = live.into_iter().flat_map(|live| &live.path.parts);
-        let judged = parts.filter_map(|part| {
+        let evaluations = parts.filter_map(|part| {
             Some(format!("{}: {}", part.incarnation.id, gateway.judgement(&part.incarnation)?))
         });
-        let engines = judged.collect::<Vec<_>>().join("; ");
+        let engines = evaluations.collect::<Vec<_>>().join("; ");
         let has_other =
             live.is_some_and(|live| has_other_path(gateway, &self.call, &self.attempts, live));
         let silent_ms = self.last_event.elapsed().as_millis() as u64;
@@ -276,31 +288,33 @@
     }
 }
 
-fn cause(not_begun: &NotBegun) -> NoRun {
-    match not_begun {
-        NotBegun::NoPlace(_) => NoRun::NoCapacity,
-        NotBegun::Spent => NoRun::NoBudget,
-        NotBegun::TimeOver | NotBegun::Ending | NotBegun::Failure(_) => NoRun::NoRetry,
+fn no_run_reason(not_started: &NotStarted) -> NoRun {
+    match not_started {
+        NotStarted::NoPlace(_) => NoRun::NoCapacity,
+        NotStarted::RetriesExhausted => NoRun::NoBudget,
+        NotStarted::DeadlinePassed | NotStarted::Ending | NotStarted::ErrorAnswer(_) => {
+            NoRun::NoRetry
+        }
     }
 }
 
-/// The next frame of a run; never comes without one.
+/// Waits for the next frame of a run; waits for ever without one.
 async fn next_frame(run: &mut Option<Run>) -> Option<Result<Frame<Bytes>, hyper::Error>> {
     match run {
-        Some(run) => run.begun.answer.body_mut().frame().await,
+        Some(run) => run.exchange.answer.body_mut().frame().await,
         None => pending().await,
     }
 }
 
-/// The fault of a run that ended before its last event.
-fn fault_of_end(ended: Option<Result<Frame<Bytes>, hyper::Error>>) -> RunFault {
+/// Returns the fault of a run that ended before its last event.
+fn fault_from_end(ended: Option<Result<Frame<Bytes>, hyper::Error>>) -> RunFault {
     match ended {
         Some(Err(err)) => RunFault::ConnectionBroke(err.to_string()),
         Some(Ok(_)) | None => RunFault::EndedWithinEvent,
     }
 }
 
-/// Ends when a broken path has brought an event; never without one.
+/// Waits until a broken path delivers an event again; waits for ever without one.
 async fn restored(broken: Option<Rc<LivePath>>) {
     match broken {
         Some(live) => live.restored().await,
--- a/crates/gateway/src/request/relay/mod.rs
+++ b/crates/gateway/src/request/relay/mod.rs
@@ -1,9 +1,9 @@
-//! A stream on its way from its engines to its caller.
+//! Relays a stream of events from its engines to its caller.
 
 mod failover;
-mod pace;
 #[allow(clippy::module_inception)]
 mod relay;
 mod repath;
+mod stream_timing;
 
 pub(crate) use relay::Relay;
--- a/crates/gateway/src/request/relay/pace.rs
+++ b/crates/gateway/src/request/relay/stream_timing.rs
@@ -1,21 +1,22 @@
-//! How promptly a stream reaches its caller.
+//! Latency figures of a stream for its last log line.
 
 use std::fmt;
 use std::time::Duration;
 
-/// What made a stream prompt or late, for its last log line.
+/// Time to the first event and longest pause of a stream.
 #[derive(Default)]
-pub(crate) struct Pace {
-    /// From the request to its first event.
+pub(crate) struct StreamTiming {
+    /// Time from the request to its first event.
     first: Option<Duration>,
     /// Longest pause between two events.
     longest: Duration,
-    /// Events that had come before it.
+    /// Number of events before the longest pause.
     longest_after: u64,
 }
 
-impl Pace {
-    /// Bytes came so long after the request, `silent` after those before; `events` had come.
+impl StreamTiming {
+    /// Records a chunk that was received `elapsed` after the request and `silent` after the previous chunk, with
+    /// `events` events before it.
     pub(crate) fn on_chunk(&mut self, elapsed: Duration, silent: Duration, events: u64) {
         if self.first.is_none() {
             self.first = Some(elapsed);
@@ -26,7 +27,7 @@
     }
 }
 
-impl fmt::Display for Pace {
+impl fmt::Display for StreamTiming {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let first = self.first.unwrap_or_default().as_millis();
         let (longest, after) = (self.longest.as_millis(), self.longest_after);
--- a/crates/gateway/src/request/answer.rs
+++ b/crates/gateway/src/request/request_handler.rs
@@ -1,10 +1,10 @@
-//! Answers one request: reads it, finds its route, and sends it on.
+//! Handles one request: reads it, finds its route, and forwards it.
 
 use crate::process::{Count, Gateway};
-use crate::request::expected::usual_time;
+use crate::request::estimate::usual_duration;
 use crate::request::plain::serve_plain;
 use crate::request::stream::serve_stream;
-use crate::request::{Call, EndGuard, give_up, refusal};
+use crate::request::{Call, EndGuard, abandon_call, refusal};
 use bytes::Bytes;
 use http::{Request, Response, StatusCode};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -19,20 +19,20 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// When to come back while no configuration is known: the store is down, for seconds.
-const RETRY_AFTER_UNKNOWN: Duration = Duration::from_millis(2_500);
-/// Share of its time that a caller waits at most when it is told to come back later.
-const MOST_WAIT_SHARE: f64 = 0.3;
-/// Callers that are told to come back at the same moment do so over this time.
-const COME_BACK_SPREAD: Duration = Duration::from_millis(1_000);
-/// How long after its start a gateway expects its first configuration at any moment, and lets
-/// requests wait for it: a store that answers at all does so by then.
-const CONFIGURATION_EXPECTED: Duration = Duration::from_millis(1_200);
-/// How long a caller waits that doesn't say.
-const DEFAULT_PATIENCE: Duration = Duration::from_secs(30);
+/// Retry-After while no configuration is known: the store is down, typically for seconds.
+const RETRY_AFTER_NO_CONFIGURATION: Duration = Duration::from_millis(2_500);
+/// Maximum share of a request's remaining time that its caller is asked to wait before a retry.
+const MAX_WAIT_SHARE: f64 = 0.3;
+/// Maximum random delay added to Retry-After, so that refused callers don't retry all at once.
+const RETRY_SPREAD: Duration = Duration::from_millis(1_000);
+/// How long after the gateway's start requests wait for the first configuration: a store that is up answers within
+/// this time.
+const CONFIGURATION_WAIT_LIMIT: Duration = Duration::from_millis(1_200);
+/// Time limit of a caller that sends none.
+const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Answers one request.
-pub(crate) async fn answer(
+/// Handles one request.
+pub(crate) async fn handle_request(
     gateway: Rc<Gateway>,
     req: Request<Incoming>,
     arrived: Instant,
@@ -40,9 +40,9 @@
     gateway.counters.add(Count::Requests);
     let head = read_caller_head(req.headers());
     let end = EndGuard::new(Rc::clone(&gateway), head.request_id.clone(), arrived);
-    let Some(routes) = routes(&gateway).await else {
-        end.tell(Count::NotRun, "not run", 503, "no configuration is known yet");
-        return Ok(refusal(StatusCode::SERVICE_UNAVAILABLE, Some(RETRY_AFTER_UNKNOWN)));
+    let Some(routes) = wait_for_routes(&gateway).await else {
+        end.report(Count::NotRun, "not run", 503, "no configuration is known yet");
+        return Ok(refusal(StatusCode::SERVICE_UNAVAILABLE, Some(RETRY_AFTER_NO_CONFIGURATION)));
     };
     let found = routes.find(&head.host, req.uri().path(), head.key.as_deref());
     let matched = match found {
@@ -52,13 +52,13 @@
     let route = matched.route.clone();
     let rank = matched.workspace.and_then(|workspace| workspace.priority);
     let workspace = matched.workspace.map(|workspace| workspace.name.clone());
-    let caller_deadline = arrived + head.patience.unwrap_or(DEFAULT_PATIENCE);
+    let caller_deadline = arrived + head.patience.unwrap_or(DEFAULT_CALLER_TIMEOUT);
     let deadline = caller_deadline.min(arrived + route.timeout);
     let (parts, body) = req.into_parts();
-    let most = routes.cfg().limits.max_body_bytes;
-    let body = match read_body(&gateway, body, most, deadline).await {
+    let max_bytes = routes.cfg().limits.max_body_bytes;
+    let body = match read_body(&gateway, body, max_bytes, deadline).await {
         Ok(body) => body,
-        Err(fault) => return refuse_body(&gateway, &end, fault, deadline),
+        Err(body_error) => return refuse_body(&gateway, &end, body_error, deadline),
     };
     let service = choose_service(&route);
     gateway.on_request(&service);
@@ -80,11 +80,11 @@
     };
     log_admitted(&call, &routes);
     let has_model = routes.service(&call.service).is_some_and(|service| service.model.is_some());
-    if !takes(&gateway, &call, has_model) {
-        call.end.tell_refused_leaving();
-        let why = "this gateway ends before the answer may";
-        let wait = come_back(&gateway, call.deadline);
-        return Ok(give_up(&call, GivenUp::NotRun, wait, why));
+    if !can_finish(&gateway, &call, has_model) {
+        call.end.report_refused_leaving();
+        let why = "this gateway ends before the answer can be complete";
+        let wait = retry_delay(&gateway, call.deadline);
+        return Ok(abandon_call(&call, GivenUp::NotRun, wait, why));
     }
     match has_model {
         true => serve_stream(gateway, call).await,
@@ -92,96 +92,101 @@
     }
 }
 
-/// Why a request has no whole body.
-enum BodyFault {
+/// Why the body of a request could not be read.
+enum BodyError {
     TooLarge,
     /// The caller closed its connection.
-    Broken,
-    TooLate,
-    /// This gateway ends before it came.
+    CallerClosed,
+    DeadlinePassed,
+    /// This gateway shuts down before the whole body was received.
     Ending,
 }
 
-/// Reads a body of `most` bytes until `deadline`.
+/// Reads a body of at most `max_bytes` bytes until `deadline`.
 async fn read_body(
     gateway: &Gateway,
     body: Incoming,
-    most: usize,
+    max_bytes: usize,
     deadline: Instant,
-) -> Result<Bytes, BodyFault> {
-    let reading = timeout_at(deadline, Limited::new(body, most).collect());
+) -> Result<Bytes, BodyError> {
+    let reading = timeout_at(deadline, Limited::new(body, max_bytes).collect());
     let read = tokio::select! {
         biased;
         read = reading => read,
-        () = gateway.ending() => return Err(BodyFault::Ending),
+        () = gateway.ending() => return Err(BodyError::Ending),
     };
     match read {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(err)) if err.is::<LengthLimitError>() => Err(BodyFault::TooLarge),
-        Ok(Err(_)) => Err(BodyFault::Broken),
-        Err(_) => Err(BodyFault::TooLate),
+        Ok(Err(err)) if err.is::<LengthLimitError>() => Err(BodyError::TooLarge),
+        Ok(Err(_)) => Err(BodyError::CallerClosed),
+        Err(_) => Err(BodyError::DeadlinePassed),
     }
 }
 
 fn refuse_body(
     gateway: &Gateway,
     end: &EndGuard,
-    fault: BodyFault,
+    body_error: BodyError,
     deadline: Instant,
 ) -> Result<Response<AnswerBody>, Cut> {
-    match fault {
-        BodyFault::TooLarge => {
-            end.tell(Count::BadRequests, "refused", 413, "the body is too large");
+    match body_error {
+        BodyError::TooLarge => {
+            end.report(Count::BadRequests, "refused", 413, "the body is too large");
             Ok(refusal(StatusCode::PAYLOAD_TOO_LARGE, None))
         }
-        BodyFault::Broken => {
-            end.tell(Count::CallersGone, "caller gone", 0, "the body ended early");
+        BodyError::CallerClosed => {
+            end.report(Count::CallersGone, "caller gone", 0, "the body ended early");
             Err(Cut)
         }
-        BodyFault::TooLate => {
-            end.tell(Count::NotRun, "not run", 408, "the body did not come in time");
+        BodyError::DeadlinePassed => {
+            end.report(Count::NotRun, "not run", 408, "the body did not come in time");
             Ok(refusal(StatusCode::REQUEST_TIMEOUT, None))
         }
-        BodyFault::Ending => {
-            end.tell_refused_leaving();
-            end.tell(Count::NotRun, "not run", 503, "this gateway ends before the body came");
-            let wait = come_back(gateway, deadline);
+        BodyError::Ending => {
+            end.report_refused_leaving();
+            end.report(
+                Count::NotRun,
+                "not run",
+                503,
+                "this gateway ends before the body was received",
+            );
+            let wait = retry_delay(gateway, deadline);
             Ok(refusal(StatusCode::SERVICE_UNAVAILABLE, Some(wait)))
         }
     }
 }
 
-/// When a caller that this gateway refuses as it ends should come back: at once where another takes it.
-fn come_back(gateway: &Gateway, deadline: Instant) -> Duration {
+/// Returns when a caller refused at shutdown should retry: at once if another gateway accepts it.
+fn retry_delay(gateway: &Gateway, deadline: Instant) -> Duration {
     let now = Instant::now();
     let wait = gateway.come_back(now);
     if wait.is_zero() {
         return wait;
     }
-    let spread = COME_BACK_SPREAD.mul_f64(rand::rng().random_range(0.0..1.0));
-    (wait + spread).min(deadline.saturating_duration_since(now).mul_f64(MOST_WAIT_SHARE))
+    let spread = RETRY_SPREAD.mul_f64(rand::rng().random_range(0.0..1.0));
+    (wait + spread).min(deadline.saturating_duration_since(now).mul_f64(MAX_WAIT_SHARE))
 }
 
-/// Whether a request is answered before this gateway ends, by how long such requests usually take and
-/// by its deadline.
-fn takes(gateway: &Gateway, call: &Call, is_stream: bool) -> bool {
+/// Returns whether a request can be answered before this gateway shuts down, judging by the usual duration of such
+/// requests and by its deadline.
+fn can_finish(gateway: &Gateway, call: &Call, is_stream: bool) -> bool {
     let Some(leaving) = gateway.leaving.get() else { return true };
     let (longest, now) = (call.time_left(), Instant::now().into_std());
     match is_stream {
-        true => leaving.takes_stream(usual_time(gateway, call), longest, now),
+        true => leaving.takes_stream(usual_duration(gateway, call), longest, now),
         false => leaving.takes_call(gateway.usual_answer(&call.service), longest, now),
     }
 }
 
-/// The configuration in force; just after the start it is waited for.
-async fn routes(gateway: &Gateway) -> Option<Rc<RouteTable>> {
+/// Returns the configuration in force, waiting for it shortly after the start.
+async fn wait_for_routes(gateway: &Gateway) -> Option<Rc<RouteTable>> {
     let configured = gateway.configured.notified();
     let known = gateway.knowledge.borrow().routes().cloned();
     if known.is_some() {
         return known;
     }
-    // What came, if anything, shows in what is known.
-    let _ = timeout_at(gateway.began + CONFIGURATION_EXPECTED, configured).await;
+    // A timeout needs no handling: the routes are read again either way.
+    let _ = timeout_at(gateway.began + CONFIGURATION_WAIT_LIMIT, configured).await;
     gateway.knowledge.borrow().routes().cloned()
 }
 
@@ -208,11 +213,11 @@
         NotAllowed::UnknownKey => (StatusCode::UNAUTHORIZED, "unknown key"),
     };
     let why = format!("{text} for {}{path} in configuration {}", head.host, routes.version());
-    end.tell(Count::NotAllowed, "not allowed", status.as_u16(), &why);
+    end.report(Count::NotAllowed, "not allowed", status.as_u16(), &why);
     refusal(status, None)
 }
 
-/// Chooses among a route's services by their weights.
+/// Chooses one of a route's services at random by their weights.
 fn choose_service(route: &Route) -> ServiceName {
     let all: u32 = route.targets.iter().map(|(_, weight)| weight).sum();
     if all == 0 {
--- a/crates/gateway/src/request/run.rs
+++ b/crates/gateway/src/request/run.rs
@@ -1,8 +1,8 @@
-//! A stream's run on a path of engines, and whether there is a place for one.
+//! Starts a stream's run on a path of engines, and reserves capacity for it there.
 
 use crate::process::{Gateway, LivePath, NoPlace, PathPlace, take_place};
-use crate::request::expected::expected_tokens;
-use crate::request::{Begun, Call, Failed, Target, attempt};
+use crate::request::estimate::expected_tokens;
+use crate::request::{Call, Exchange, FailedAttempt, Target, attempt};
 use http::Response;
 use sorrellock_http::AnswerBody;
 use sorrellock_routing::request::Attempts;
@@ -11,32 +11,32 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// When to come back after a refusal for want of room: half of the streams have ended, and a lost
-/// path is whole again.
+/// Retry-After of a refusal because all paths are full: by then half of the streams have ended, and a lost
+/// path is repaired.
 pub(crate) const RETRY_AFTER_FULL: Duration = Duration::from_millis(2_500);
 
-/// A stream that has begun on a path.
+/// A stream whose answer has started on a path, with its reservation there.
 pub(crate) struct Run {
-    pub(crate) begun: Begun,
+    pub(crate) exchange: Exchange,
     pub(crate) place: PathPlace,
 }
 
-/// Why a stream did not begin.
-pub(crate) enum NotBegun {
-    /// There is no place on any path that wasn't tried.
+/// Why a run did not start.
+pub(crate) enum NotStarted {
+    /// No untried path has free capacity.
     NoPlace(NoPlace),
-    /// The attempts or their budget are spent.
-    Spent,
-    /// Time is over.
-    TimeOver,
-    /// This gateway ends.
+    /// No attempt or no retry budget is left.
+    RetriesExhausted,
+    /// The deadline has passed.
+    DeadlinePassed,
+    /// This gateway is shutting down.
     Ending,
-    /// An engine's own failure, for the caller if nothing better comes.
-    Failure(Response<AnswerBody>),
+    /// An engine's error answer, for the caller if no run starts.
+    ErrorAnswer(Response<AnswerBody>),
 }
 
-/// Waits for a place until `until`.
-pub(super) async fn place(
+/// Reserves capacity on a path, waiting for it until `until`.
+pub(super) async fn wait_for_place(
     gateway: &Rc<Gateway>,
     call: &Call,
     attempts: &Attempts,
@@ -44,7 +44,7 @@
     until: Instant,
 ) -> Result<PathPlace, NoPlace> {
     loop {
-        let res = take_now(gateway, call, attempts, avoid);
+        let res = try_take_place(gateway, call, attempts, avoid);
         let Err(none) = res else { return res };
         if Instant::now() >= until {
             return Err(none);
@@ -54,8 +54,8 @@
     }
 }
 
-/// Takes a place, if there is one.
-pub(super) fn take_now(
+/// Reserves capacity on a path without waiting.
+pub(super) fn try_take_place(
     gateway: &Gateway,
     call: &Call,
     attempts: &Attempts,
@@ -70,9 +70,9 @@
     take_place(&gateway.paths, &call.service, tokens, own, may_take, Instant::now())
 }
 
-/// Whether a silent stream could go on over another path: else its run may still come back. It guards
-/// streams on slow paths: with the retry budget spent they were cut in mid-answer, though their runs
-/// lived (once in 40 days with faults).
+/// Returns whether a silent stream could continue over another path. Without one its run is kept, as it may still
+/// deliver. Otherwise streams on slow paths are cut in mid-answer when the retry budget is spent, although their runs
+/// are alive (seen once in 40 days with faults).
 pub(crate) fn has_other_path(
     gateway: &Gateway,
     call: &Call,
@@ -92,13 +92,13 @@
         && paths.has_place(&call.service, tokens, may_take, Instant::now())
 }
 
-/// Sends a stream over a path and waits for the head of its answer.
+/// Sends a stream's request over a path and waits for the head of its answer.
 pub(super) async fn send(
     gateway: &Rc<Gateway>,
     call: &Call,
     place: PathPlace,
-    last: Option<u64>,
-) -> Result<Run, Failed> {
+    last_event: Option<u64>,
+) -> Result<Run, FailedAttempt> {
     let live = Rc::clone(&place.live);
     let path = &live.path;
     let first = path.first();
@@ -107,15 +107,15 @@
     info!("request sent", kv: {
         request = call.id(), endpoint = first.incarnation.id.as_str(),
         data_centre = path.data_centre.as_str(), streams = place.live.streams.get(),
-        after:? = last, ms, era = known.at.era, endpoints_at = known.at.count,
+        after:? = last_event, ms, era = known.at.era, endpoints_at = known.at.count,
         endpoints_age_ms:? = known.age_ms
     });
     let target = Target {
         incarnation: first.incarnation.clone(),
         addr: first.addr,
         path: &path.parts,
-        last_event: last,
+        last_event,
     };
-    let begun = attempt(gateway, call, &target, call.time_left()).await?;
-    Ok(Run { begun, place })
+    let exchange = attempt(gateway, call, &target, call.time_left()).await?;
+    Ok(Run { exchange, place })
 }
--- a/crates/gateway/src/request/run_search.rs
+++ b/crates/gateway/src/request/run_search.rs
@@ -1,8 +1,12 @@
-//! Begins a stream's run on a path of engines, and on further ones while attempts may be made.
+//! Starts a stream's run, trying further paths of engines while attempts are left.
 
 use crate::process::{Gateway, LivePath, PathPlace, check_first, check_path, check_refuser};
-use crate::request::run::{NotBegun, RETRY_AFTER_FULL, Run, place, send, take_now};
-use crate::request::{Call, Failed, RunningAttempts, give_up, log_failed, pass_on};
+use crate::request::run::{
+    NotStarted, RETRY_AFTER_FULL, Run, send, try_take_place, wait_for_place,
+};
+use crate::request::{
+    Call, FailedAttempt, RunningAttempts, abandon_call, forward_answer, log_failed_attempt,
+};
 use http::{Response, StatusCode};
 use http_body_util::{BodyExt, Limited};
 use sorrellock_http::AnswerBody;
@@ -13,131 +17,133 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// How long the first event may take before another path is tried: callers leave after two
-/// seconds. A path that serves others is only busy, and another one rarely less.
-const FIRST_EVENT_PATIENCE: Duration = Duration::from_millis(1_700);
-/// The same on a path that is silent as a whole.
-const FIRST_EVENT_PATIENCE_SILENT: Duration = Duration::from_millis(600);
-/// How often a request that waits for its first event looks at its path.
-const FIRST_EVENT_TICK: Duration = Duration::from_millis(100);
-/// How long paths through an engine that refused a request get nothing new from this gateway.
-const REFUSED_AVOID: Duration = Duration::from_millis(250);
-/// How long a path on which nothing came gets nothing new.
-const SILENT_AVOID: Duration = Duration::from_millis(1_000);
-/// Largest body of an engine's failure.
-const MAX_FAILURE_BYTES: usize = 1 << 20;
+/// How long the first event may take before another path is tried: callers leave after two seconds. A path that
+/// delivers events to other streams is only busy, and another one is rarely less busy.
+const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1_700);
+/// The same on a path where all streams are silent.
+const FIRST_EVENT_TIMEOUT_SILENT_PATH: Duration = Duration::from_millis(600);
+/// How often a request that waits for its first event checks its path.
+const FIRST_EVENT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// How long this gateway sends no new requests to paths through an engine that refused one.
+const REFUSED_AVOID_TIME: Duration = Duration::from_millis(250);
+/// How long this gateway sends no new requests to a path that delivered nothing.
+const SILENT_AVOID_TIME: Duration = Duration::from_millis(1_000);
+/// Maximum size of the body of an engine's error answer.
+const MAX_ERROR_BODY_BYTES: usize = 1 << 20;
 
-/// Begins a stream on the best path, and on further ones while attempts may be made. Paths that
-/// failed are added to `avoid`.
+/// Starts a stream on the best path, and on further ones while attempts are left. Paths that failed are added to
+/// `avoid`.
 ///
-/// An attempt that is only in doubt goes on, beside the next one or alone where none may follow: whichever brings the head of
-/// an answer first is the run.
-pub(crate) async fn begin(
+/// An attempt that is only suspect stays open, in parallel with the next one or alone where none may follow. The first
+/// attempt to receive the head of an answer becomes the run.
+pub(crate) async fn start_run(
     gateway: &Rc<Gateway>,
     call: &Call,
     attempts: &mut Attempts,
-    last: Option<u64>,
+    last_event: Option<u64>,
     avoid: &mut Vec<Rc<LivePath>>,
-    room_until: Instant,
-) -> Result<Run, NotBegun> {
+    capacity_until: Instant,
+) -> Result<Run, NotStarted> {
     let mut search = RunSearch::new(gateway, call, attempts, avoid);
     let mut running = RunningAttempts::new();
     loop {
         if running.is_empty() {
-            let place = search.next_place(room_until).await?;
-            running.push(search.on_sent(&place), send(gateway, call, place, last));
+            let place = search.next_place(capacity_until).await?;
+            running.push(search.on_sent(&place), send(gateway, call, place, last_event));
         }
-        let doubt = doubt(call, running.only());
+        let suspicion = suspicion(call, running.only());
         let event = tokio::select! {
             biased;
-            (sent, res) = running.ended() => Event::Ended(sent, res.map(Box::new)),
-            why = doubt => Event::Doubted(why),
-            () = gateway.ending() => Event::ShuttingDown,
+            (sent, res) = running.ended() => SearchEvent::Ended(sent, res.map(Box::new)),
+            why = suspicion => SearchEvent::AttemptSuspect(why),
+            () = gateway.ending() => SearchEvent::ShuttingDown,
         };
         match event {
-            Event::Ended(_, Ok(run)) if run.begun.answer.status() == StatusCode::OK => {
+            SearchEvent::Ended(_, Ok(run)) if run.exchange.answer.status() == StatusCode::OK => {
                 return Ok(*run);
             }
-            Event::Ended(sent, Ok(run)) => search.on_failure_answered(&sent, *run).await,
-            Event::Ended(sent, Err(failed)) => search.on_failed(&sent, &failed),
-            Event::Doubted(why) => match search.place_beside() {
+            SearchEvent::Ended(sent, Ok(run)) => search.on_error_answered(&sent, *run).await,
+            SearchEvent::Ended(sent, Err(failed)) => search.on_failed(&sent, &failed),
+            SearchEvent::AttemptSuspect(why) => match search.hedge_place() {
                 Some(place) => {
-                    running.infos().for_each(|sent| search.on_doubted(sent, &why));
-                    running.push(search.on_sent(&place), send(gateway, call, place, last));
+                    running.infos().for_each(|sent| search.on_suspect(sent, &why));
+                    running.push(search.on_sent(&place), send(gateway, call, place, last_event));
                 }
-                None => running.infos().for_each(Sent::look_later),
+                None => running.infos().for_each(SentAttempt::postpone_check),
             },
-            Event::ShuttingDown => {
+            SearchEvent::ShuttingDown => {
                 running.infos().for_each(|sent| search.on_shutting_down(sent));
-                return Err(search.end_with(NotBegun::Ending));
+                return Err(search.error_answer_or(NotStarted::Ending));
             }
         }
     }
 }
 
-/// What happens next to a stream that has not begun.
-enum Event {
-    Ended(Sent, Result<Box<Run>, Failed>),
-    /// The only attempt is in doubt, for this reason.
-    Doubted(String),
+/// An event in the search for a run.
+enum SearchEvent {
+    Ended(SentAttempt, Result<Box<Run>, FailedAttempt>),
+    /// The only open attempt is suspect, for this reason.
+    AttemptSuspect(String),
     ShuttingDown,
 }
 
-/// An attempt under way.
-struct Sent {
+/// An open attempt on a path.
+struct SentAttempt {
     live: Rc<LivePath>,
-    at: Instant,
-    /// Whether it is in doubt is asked from then on.
-    look_at: Instant,
-    /// It was counted as another one was sent beside it.
-    is_counted: bool,
+    sent_at: Instant,
+    /// Not checked for suspicion before then.
+    check_at: Instant,
+    /// It is already counted as failed, since another one was sent in parallel.
+    is_abandoned: bool,
 }
 
-impl Sent {
-    fn look_later(&mut self) {
-        self.look_at = Instant::now() + FIRST_EVENT_TICK;
+impl SentAttempt {
+    fn postpone_check(&mut self) {
+        self.check_at = Instant::now() + FIRST_EVENT_CHECK_INTERVAL;
     }
 }
 
-/// Ends when the only attempt is in doubt; never where there are several, or where it may not be repeated.
-fn doubt(call: &Call, only: Option<&mut Sent>) -> impl Future<Output = String> + use<> {
+/// Resolves with the reason when the only open attempt becomes suspect. Never resolves with several open attempts or if
+/// the request may not be repeated.
+fn suspicion(call: &Call, only: Option<&mut SentAttempt>) -> impl Future<Output = String> + use<> {
     let may_repeat = call.route.semantics.may_repeat();
     let only = only.filter(|_| may_repeat);
-    let only = only.map(|sent| (Rc::clone(&sent.live), sent.at, sent.look_at));
+    let only = only.map(|sent| (Rc::clone(&sent.live), sent.sent_at, sent.check_at));
     async move {
-        let Some((live, at, look_at)) = only else { return pending().await };
-        sleep_until(look_at).await;
+        let Some((live, sent_at, check_at)) = only else { return pending().await };
+        sleep_until(check_at).await;
         tokio::select! {
             () = live.broken() => format!("an engine of the path in {} is dead", live.path.data_centre),
-            waited = too_late(&live, at) => format!("no event in {} ms", waited.as_millis()),
+            waited = first_event_overdue(&live, sent_at) => format!("no event in {} ms", waited.as_millis()),
         }
     }
 }
 
-/// Ends when the first event of a request that was sent at `at` is so late that another path should be tried.
-async fn too_late(live: &LivePath, at: Instant) -> Duration {
+/// Resolves with the time waited when the first event of a request sent at `sent_at` is so late that another path
+/// should be tried.
+async fn first_event_overdue(live: &LivePath, sent_at: Instant) -> Duration {
     loop {
-        let waited = at.elapsed();
-        let patience = match live.is_silent(Instant::now()) {
-            true => FIRST_EVENT_PATIENCE_SILENT,
-            false => FIRST_EVENT_PATIENCE,
+        let waited = sent_at.elapsed();
+        let limit = match live.is_silent(Instant::now()) {
+            true => FIRST_EVENT_TIMEOUT_SILENT_PATH,
+            false => FIRST_EVENT_TIMEOUT,
         };
-        if waited >= patience {
+        if waited >= limit {
             return waited;
         }
-        sleep(FIRST_EVENT_TICK).await;
+        sleep(FIRST_EVENT_CHECK_INTERVAL).await;
     }
 }
 
-/// The search for a stream's run.
+/// The state of the search for a stream's run.
 struct RunSearch<'a> {
     gateway: &'a Rc<Gateway>,
     call: &'a Call,
     attempts: &'a mut Attempts,
-    /// Paths that failed the stream.
+    /// Paths on which the stream failed.
     avoid: &'a mut Vec<Rc<LivePath>>,
-    /// An engine's own failure, for the caller if nothing better comes.
-    failure: Option<Response<AnswerBody>>,
+    /// An engine's error answer, returned to the caller if no run starts.
+    error_answer: Option<Response<AnswerBody>>,
 }
 
 impl<'a> RunSearch<'a> {
@@ -147,116 +153,136 @@
         attempts: &'a mut Attempts,
         avoid: &'a mut Vec<Rc<LivePath>>,
     ) -> RunSearch<'a> {
-        RunSearch { gateway, call, attempts, avoid, failure: None }
+        RunSearch { gateway, call, attempts, avoid, error_answer: None }
     }
 
-    /// A place for the next attempt, its retry paid.
-    async fn next_place(&mut self, room_until: Instant) -> Result<PathPlace, NotBegun> {
+    /// Reserves a place for the next attempt and charges the retry budget if it is a repeat.
+    async fn next_place(&mut self, capacity_until: Instant) -> Result<PathPlace, NotStarted> {
         if self.call.time_left().is_zero() {
-            return Err(NotBegun::TimeOver);
+            return Err(NotStarted::DeadlinePassed);
         }
         if self.gateway.is_ending() {
-            return Err(NotBegun::Ending);
+            return Err(NotStarted::Ending);
         }
         self.attempts.forget_lost(|incarnation| self.gateway.is_gone(incarnation));
-        let place = place(self.gateway, self.call, self.attempts, self.avoid, room_until).await;
-        let place = place.map_err(|none| self.end_with(NotBegun::NoPlace(none)))?;
+        let place =
+            wait_for_place(self.gateway, self.call, self.attempts, self.avoid, capacity_until)
+                .await;
+        let place = place.map_err(|none| self.error_answer_or(NotStarted::NoPlace(none)))?;
         if self.attempts.is_repeat() && !self.gateway.spend_repeat(&self.call.service) {
-            return Err(self.end_with(NotBegun::Spent));
+            return Err(self.error_answer_or(NotStarted::RetriesExhausted));
         }
         Ok(place)
     }
 
-    /// The same for an attempt beside the only one; none where none may follow now.
-    fn place_beside(&mut self) -> Option<PathPlace> {
+    /// Does the same for an attempt in parallel with the open one; `None` if none may be sent now.
+    fn hedge_place(&mut self) -> Option<PathPlace> {
         let (gateway, call) = (self.gateway, self.call);
         if gateway.is_ending() || !gateway.may_repeat(&call.service) {
             return None;
         }
         let mut after = self.attempts.clone();
         after.abandon();
-        let place = take_now(gateway, call, &after, self.avoid).ok()?;
+        let place = try_take_place(gateway, call, &after, self.avoid).ok()?;
         gateway.spend_repeat(&call.service).then_some(place)
     }
 
-    fn on_sent(&mut self, place: &PathPlace) -> Sent {
+    fn on_sent(&mut self, place: &PathPlace) -> SentAttempt {
         let now = Instant::now();
         self.attempts.on_sent(&place.live.path.first().incarnation);
-        Sent { live: Rc::clone(&place.live), at: now, look_at: now, is_counted: false }
+        SentAttempt {
+            live: Rc::clone(&place.live),
+            sent_at: now,
+            check_at: now,
+            is_abandoned: false,
+        }
     }
 
-    /// Another attempt is about to be sent beside it.
-    fn on_doubted(&mut self, sent: &mut Sent, why: &str) {
+    /// Counts a suspect attempt as abandoned, as another one is about to be sent in parallel.
+    fn on_suspect(&mut self, sent: &mut SentAttempt, why: &str) {
         let (call, live) = (self.call, &sent.live);
         info!("attempt in doubt", kv: {
             request = call.id(), endpoint = live.path.first().incarnation.id.as_str(), why,
             ms = call.arrived.elapsed().as_millis() as u64
         });
         self.attempts.abandon();
-        sent.is_counted = true;
-        live.avoid(Instant::now() + SILENT_AVOID);
+        sent.is_abandoned = true;
+        live.avoid(Instant::now() + SILENT_AVOID_TIME);
         check_path(self.gateway, live);
         self.avoid.push(Rc::clone(live));
     }
 
-    async fn on_failure_answered(&mut self, sent: &Sent, run: Run) {
-        self.note_failed(sent, Evidence::MayHaveRun);
-        self.failure = Some(read_failure(self.call, run).await);
+    async fn on_error_answered(&mut self, sent: &SentAttempt, run: Run) {
+        self.record_failed(sent, Evidence::MayHaveRun);
+        self.error_answer = Some(read_error_answer(self.call, run).await);
     }
 
-    fn on_failed(&mut self, sent: &Sent, failed: &Failed) {
-        log_failed(self.gateway, self.call, &sent.live.path.first().incarnation, failed);
-        self.note_failed(sent, failed.evidence);
-        follow_failure(self.gateway, self.call, &sent.live, failed);
+    fn on_failed(&mut self, sent: &SentAttempt, failed: &FailedAttempt) {
+        log_failed_attempt(self.gateway, self.call, &sent.live.path.first().incarnation, failed);
+        self.record_failed(sent, failed.evidence);
+        react_to_failure(self.gateway, self.call, &sent.live, failed);
     }
 
-    /// Its caller couldn't tell a closed connection from one that was never read.
-    fn on_shutting_down(&mut self, sent: &Sent) {
-        self.call.end.tell_cut_leaving();
-        let failed = Failed::new(Evidence::MayHaveRun, "this gateway ends".to_owned());
-        log_failed(self.gateway, self.call, &sent.live.path.first().incarnation, &failed);
-        self.note_failed(sent, failed.evidence);
+    /// Counts an open attempt as failed at shutdown, so that the request is answered: its caller can't distinguish a
+    /// closed connection from one that was never read.
+    fn on_shutting_down(&mut self, sent: &SentAttempt) {
+        self.call.end.report_cut_leaving();
+        let failed = FailedAttempt::new(Evidence::MayHaveRun, "this gateway ends".to_owned());
+        log_failed_attempt(self.gateway, self.call, &sent.live.path.first().incarnation, &failed);
+        self.record_failed(sent, failed.evidence);
     }
 
-    fn note_failed(&mut self, sent: &Sent, evidence: Evidence) {
-        if !sent.is_counted {
+    fn record_failed(&mut self, sent: &SentAttempt, evidence: Evidence) {
+        if !sent.is_abandoned {
             self.attempts.on_failed(&sent.live.path.first().incarnation, evidence);
             self.avoid.push(Rc::clone(&sent.live));
         }
     }
 
-    /// How the search ends without a run.
-    fn end_with(&mut self, not_begun: NotBegun) -> NotBegun {
-        self.failure.take().map_or(not_begun, NotBegun::Failure)
+    /// Returns why no run started: an engine's error answer goes before `not_started`.
+    fn error_answer_or(&mut self, not_started: NotStarted) -> NotStarted {
+        self.error_answer.take().map_or(not_started, NotStarted::ErrorAnswer)
     }
 }
 
-/// What follows from a failed attempt for others.
-fn follow_failure(gateway: &Rc<Gateway>, call: &Call, live: &Rc<LivePath>, failed: &Failed) {
+/// Applies a failed attempt to the path and its engines: avoids, checks or suspects them.
+fn react_to_failure(
+    gateway: &Rc<Gateway>,
+    call: &Call,
+    live: &Rc<LivePath>,
+    failed: &FailedAttempt,
+) {
     let first = live.path.first();
     let now = Instant::now();
     match failed.evidence {
         Evidence::NotSent if failed.is_inconclusive => check_first(gateway, live),
-        Evidence::NotSent => gateway.suspect(&first.incarnation, failed.finding, &failed.why),
+        Evidence::NotSent => {
+            gateway.suspect(&first.incarnation, failed.failure_evidence, &failed.why)
+        }
         Evidence::NotRun => {
-            // Another path through the engine that refused would bring the same answer.
+            // Any path through the engine that refused would get the same answer.
             let refuser = failed.at_fault.unwrap_or(first.addr);
-            live.avoid(now + REFUSED_AVOID);
-            gateway.paths.borrow().avoid_through(&call.service, refuser, now + REFUSED_AVOID);
+            live.avoid(now + REFUSED_AVOID_TIME);
+            gateway.paths.borrow().avoid_through(&call.service, refuser, now + REFUSED_AVOID_TIME);
             check_refuser(gateway, refuser, failed.is_misdirected);
         }
         Evidence::MayHaveRun => {
-            live.avoid(now + SILENT_AVOID);
+            live.avoid(now + SILENT_AVOID_TIME);
             check_first(gateway, live);
         }
     }
 }
 
-async fn read_failure(call: &Call, run: Run) -> Response<AnswerBody> {
-    let (parts, body) = run.begun.answer.into_parts();
-    let body = timeout(call.time_left(), Limited::new(body, MAX_FAILURE_BYTES).collect()).await;
+async fn read_error_answer(call: &Call, run: Run) -> Response<AnswerBody> {
+    let (parts, body) = run.exchange.answer.into_parts();
+    let body = timeout(call.time_left(), Limited::new(body, MAX_ERROR_BODY_BYTES).collect()).await;
     let Ok(Ok(body)) = body else {
-        return give_up(call, GivenUp::Unknown, RETRY_AFTER_FULL, "an engine's failure broke off");
+        return abandon_call(
+            call,
+            GivenUp::Unknown,
+            RETRY_AFTER_FULL,
+            "an engine's error answer was cut off",
+        );
     };
-    pass_on(&parts, body.to_bytes())
+    forward_answer(&parts, body.to_bytes())
 }
--- a/crates/gateway/src/request/running_attempts.rs
+++ b/crates/gateway/src/request/running_attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request that are under way at the same time.
+//! The concurrent attempts of one request.
 
 use sorrellock_core::process::retries::Permit;
 use sorrellock_routing::process::Incarnation;
@@ -7,21 +7,21 @@
 use std::task::Poll;
 use tokio::time::{Instant, sleep_until};
 
-/// An attempt of a call at one endpoint, without its answer.
+/// An attempt of a call at one endpoint, without its future.
 pub(crate) struct AttemptInfo {
     pub(crate) endpoint: Incarnation,
     pub(crate) permit: Permit,
-    /// When a further attempt may begin beside it; none if none may.
+    /// When a further attempt may start in parallel; `None` if none may.
     pub(crate) overdue_at: Option<Instant>,
-    /// A further attempt has begun beside it.
+    /// A further attempt was started in parallel.
     pub(crate) is_overdue: bool,
 }
 
-/// What happens next to a call.
+/// An event of a call's attempts.
 pub(crate) enum AttemptEvent<'a, T> {
-    /// An attempt ended.
+    /// An attempt ended with this result.
     Ended(AttemptInfo, T),
-    /// The only attempt takes so long that a further one may begin.
+    /// The only open attempt takes so long that a further one may start.
     Overdue(&'a mut AttemptInfo),
 }
 
@@ -30,13 +30,13 @@
     answer: Pin<Box<F>>,
 }
 
-/// The attempts of one request that are under way. Dropping them closes their connections.
+/// The open attempts of one request. Dropping them closes their connections.
 pub(crate) struct RunningAttempts<I, F> {
     running: Vec<Running<I, F>>,
 }
 
 impl<I, F: Future> RunningAttempts<I, F> {
-    /// None is under way.
+    /// Creates an empty set of attempts.
     pub(crate) fn new() -> RunningAttempts<I, F> {
         RunningAttempts { running: Vec::new() }
     }
@@ -53,7 +53,7 @@
         self.running.iter_mut().map(|running| &mut running.info)
     }
 
-    /// The only one, if no other is under way.
+    /// Returns the only open attempt; `None` if there are none or several.
     pub(crate) fn only(&mut self) -> Option<&mut I> {
         match self.running.as_mut_slice() {
             [only] => Some(&mut only.info),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Waits for the end of one; for ever if none is under way.
+    /// Waits until an attempt ends and removes it; waits for ever if there are none.
     pub(crate) async fn ended(&mut self) -> (I, F::Output) {
         let (index, output) = poll_fn(|cx| {
             for (index, running) in self.running.iter_mut().enumerate() {
@@ -77,7 +77,7 @@
 }
 
 impl<F: Future> RunningAttempts<AttemptInfo, F> {
-    /// Waits for what happens next; for ever if none is under way.
+    /// Waits for the next event; waits for ever if there are no attempts.
     pub(crate) async fn next(&mut self) -> AttemptEvent<'_, F::Output> {
         let overdue_at = self.only().and_then(|only| only.overdue_at);
         let overdue = async {
--- a/crates/gateway/src/request/stream.rs
+++ b/crates/gateway/src/request/stream.rs
@@ -1,10 +1,10 @@
-//! Requests to model engines: a stream of events over a path of engines.
+//! Serves requests to model engines: streams of events over a path of engines.
 
 use crate::process::{Count, Gateway, NoPlace};
 use crate::request::relay::Relay;
-use crate::request::run::{NotBegun, RETRY_AFTER_FULL, Run};
-use crate::request::run_search::begin;
-use crate::request::{Call, give_up};
+use crate::request::run::{NotStarted, RETRY_AFTER_FULL, Run};
+use crate::request::run_search::start_run;
+use crate::request::{Call, abandon_call};
 use http::Response;
 use sorrellock_http::{AnswerBody, Cut};
 use sorrellock_platform::answer_headers;
@@ -14,16 +14,15 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Events that wait for a slow caller; beyond it the engine's connection isn't read.
+/// Buffered parts for a slow caller; when the buffer is full, the engine's connection isn't read.
 const PARTS_BUFFERED: usize = 32;
-/// How long a request waits for room before it is refused: within a quarter of the usual goal of
-/// 500 ms, so that the caller can still be served in time elsewhere.
-const ROOM_PATIENCE: Duration = Duration::from_millis(100);
-/// When to come back where no path exists: a lost engine is found and its layers are loaded in
-/// about that time.
+/// How long a request waits for free capacity before it is refused: less than a quarter of the usual latency target of
+/// 500 ms, so that another gateway can still serve the caller in time.
+const CAPACITY_WAIT_LIMIT: Duration = Duration::from_millis(100);
+/// Retry-After if no path exists: detecting a lost engine and loading its layers elsewhere takes about this long.
 const RETRY_AFTER_NO_PATH: Duration = Duration::from_millis(2_500);
 /// How long callers wait for the first event.
-const FIRST_EVENT_WAIT: Duration = Duration::from_secs(2);
+const CALLER_FIRST_EVENT_LIMIT: Duration = Duration::from_secs(2);
 
 /// Serves a stream.
 pub(crate) async fn serve_stream(
@@ -31,24 +30,30 @@
     call: Call,
 ) -> Result<Response<AnswerBody>, Cut> {
     let mut attempts = Attempts::new(call.route.semantics, call.route.max_attempts);
-    let last = call.head.last_event;
+    let last_event = call.head.last_event;
     let mut avoid = Vec::new();
-    let until = Instant::now() + ROOM_PATIENCE;
-    let mut began = begin(&gateway, &call, &mut attempts, last, &mut avoid, until).await;
-    if matches!(began, Err(NotBegun::NoPlace(_))) && attempts.given_up(false) != GivenUp::NotRun {
-        // It can't be refused as not run any more: a place that frees serves its caller better than no answer.
+    let until = Instant::now() + CAPACITY_WAIT_LIMIT;
+    let mut began = start_run(&gateway, &call, &mut attempts, last_event, &mut avoid, until).await;
+    if matches!(began, Err(NotStarted::NoPlace(_))) && attempts.given_up(false) != GivenUp::NotRun {
+        // An attempt may have run, so the request can no longer be refused as not run: waiting for free capacity is
+        // better than no answer.
         avoid.retain(|live| live.is_broken());
-        let until = (call.arrived + FIRST_EVENT_WAIT).min(call.deadline);
-        began = begin(&gateway, &call, &mut attempts, last, &mut avoid, until).await;
+        let until = (call.arrived + CALLER_FIRST_EVENT_LIMIT).min(call.deadline);
+        began = start_run(&gateway, &call, &mut attempts, last_event, &mut avoid, until).await;
     }
     match began {
         Ok(run) => Ok(start_relay(gateway, call, attempts, run)),
-        Err(NotBegun::Failure(answer)) => {
+        Err(NotStarted::ErrorAnswer(answer)) => {
             let status = answer.status().as_u16();
-            call.end.tell(Count::Answered, "answered", status, "the engine's own failure");
+            call.end.report(
+                Count::Answered,
+                "answered",
+                status,
+                "the engine answered with an error",
+            );
             Ok(answer)
         }
-        Err(not_begun) => Ok(refuse(&gateway, &call, &attempts, &not_begun)),
+        Err(not_started) => Ok(refuse(&gateway, &call, &attempts, &not_started)),
     }
 }
 
@@ -56,19 +61,19 @@
     gateway: &Gateway,
     call: &Call,
     attempts: &Attempts,
-    not_begun: &NotBegun,
+    not_started: &NotStarted,
 ) -> Response<AnswerBody> {
-    let (why, come_back) = match not_begun {
-        NotBegun::NoPlace(NoPlace::Full) => ("all paths are full", RETRY_AFTER_FULL),
-        NotBegun::NoPlace(NoPlace::NoPath) => ("no engines hold all layers", RETRY_AFTER_NO_PATH),
-        NotBegun::Spent => ("attempts or their budget are spent", RETRY_AFTER_FULL),
-        NotBegun::TimeOver => ("time is over", RETRY_AFTER_FULL),
-        NotBegun::Ending => ("this gateway ends before the first event", RETRY_AFTER_FULL),
-        NotBegun::Failure(_) => ("an engine failed", RETRY_AFTER_FULL),
+    let (why, retry_delay) = match not_started {
+        NotStarted::NoPlace(NoPlace::Full) => ("all paths are full", RETRY_AFTER_FULL),
+        NotStarted::NoPlace(NoPlace::NoPath) => ("no engines hold all layers", RETRY_AFTER_NO_PATH),
+        NotStarted::RetriesExhausted => ("no attempt or retry budget is left", RETRY_AFTER_FULL),
+        NotStarted::DeadlinePassed => ("the deadline has passed", RETRY_AFTER_FULL),
+        NotStarted::Ending => ("this gateway ends before the first event", RETRY_AFTER_FULL),
+        NotStarted::ErrorAnswer(_) => ("an engine failed", RETRY_AFTER_FULL),
     };
-    let is_over = matches!(not_begun, NotBegun::TimeOver);
+    let is_over = matches!(not_started, NotStarted::DeadlinePassed);
     let paths = gateway.paths.borrow().describe(&call.service, Instant::now());
-    give_up(call, attempts.given_up(is_over), come_back, &format!("{why}: {paths}"))
+    abandon_call(call, attempts.given_up(is_over), retry_delay, &format!("{why}: {paths}"))
 }
 
 fn start_relay(
@@ -79,8 +84,8 @@
 ) -> Response<AnswerBody> {
     let (tx, rx) = mpsc::channel(PARTS_BUFFERED);
     let mut answer = Response::new(AnswerBody::parts(rx));
-    *answer.status_mut() = run.begun.answer.status();
-    *answer.headers_mut() = answer_headers(run.begun.answer.headers());
+    *answer.status_mut() = run.exchange.answer.status();
+    *answer.headers_mut() = answer_headers(run.exchange.answer.headers());
     tokio::task::spawn_local(Relay::new(gateway, call, attempts, run, tx).run());
     answer
 }
