--- a/crates/gateway/src/connection/caller_connection.rs
+++ b/crates/gateway/src/connection/caller_connection.rs
@@ -1,4 +1,4 @@
-//! Connections of callers: takes them in, serves their requests, and closes those that are idle.
+//! Accepts the connections of callers, serves their requests, and closes idle connections.
 
 use crate::process::{ACCEPT_ERROR_PAUSE, Count, Gateway, Phase};
 use crate::request::handle_request;
@@ -17,22 +17,22 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep};
 
-/// Connections open at once: descriptors are kept for endpoints and the process's own.
+/// Maximum number of open connections: some file descriptors are left for endpoints and for the process itself.
 const MAX_CONNECTIONS: usize = 2_500;
-/// hyper takes no smaller buffer.
+/// Smallest buffer size that hyper accepts.
 const MIN_BUF_BYTES: usize = 8 << 10;
-/// Limits before a configuration tells them.
-const FIRST_LIMITS: CallerLimits = CallerLimits {
+/// Limits used until there is a configuration.
+const DEFAULT_LIMITS: CallerLimits = CallerLimits {
     max_header_bytes: 16 << 10,
     max_body_bytes: 4 << 20,
     header_timeout: Duration::from_secs(3),
     idle_timeout: Duration::from_secs(15),
 };
-/// Time that a connection may be idle beyond the limit, so that a caller that keeps to the limit
-/// never meets the close.
+/// Time that a connection may be idle beyond the limit, so that a caller that keeps to the limit never sends a request
+/// on a connection that is being closed.
 const IDLE_SLACK: Duration = Duration::from_secs(1);
 
-/// Takes connections in, for ever.
+/// Accepts connections for ever.
 pub(crate) async fn accept_callers(gateway: Rc<Gateway>, listener: TcpListener) {
     let open = Rc::new(());
     loop {
@@ -43,59 +43,59 @@
             Ok((stream, _)) => {
                 let (gateway, guard) = (Rc::clone(&gateway), Rc::clone(&open));
                 tokio::task::spawn_local(async move {
-                    serve(gateway, stream).await;
+                    serve_caller(gateway, stream).await;
                     drop(guard);
                 });
             }
             Err(err) => {
                 let text = err.to_string();
-                warn!("connection of a caller not accepted", kv: { err = text.as_str() });
+                warn!("failed to accept a caller connection", kv: { err = text.as_str() });
                 sleep(ACCEPT_ERROR_PAUSE).await;
             }
         }
     }
 }
 
-async fn serve(gateway: Rc<Gateway>, stream: TcpStream) {
-    // A caller that has gone already shows at the first read.
+async fn serve_caller(gateway: Rc<Gateway>, stream: TcpStream) {
+    // An error here means that the caller has gone, which the first read shows too.
     let _ = stream.set_nodelay(true);
     let activity = Arc::new(Activity::new());
-    // The limits that the caller last acted under: the configuration may change while it is idle.
-    let last_limits = Rc::new(Cell::new(limits(&gateway)));
+    // The limits at the caller's last request: the configuration may change while the connection is idle.
+    let last_limits = Rc::new(Cell::new(current_limits(&gateway)));
     let buf_bytes = last_limits.get().max_header_bytes.max(MIN_BUF_BYTES);
-    // Set with the first request, until the connection is closed. A gateway that ends closes each after its
-    // answer, so that those left have one to write.
-    let answering: Rc<OnceCell<Counted>> = Rc::default();
+    // Set from the first request until the connection is closed. A gateway that shuts down closes each connection after
+    // its answer, so that those left have an answer to write.
+    let answering: Rc<OnceCell<CountGuard>> = Rc::default();
     let service = {
         let (gateway, activity) = (Rc::clone(&gateway), Arc::clone(&activity));
         let (answering, last_limits) = (Rc::clone(&answering), Rc::clone(&last_limits));
         service_fn(move |req| {
-            answering.get_or_init(|| Counted::new(Rc::clone(&gateway), |g| &g.answering));
-            last_limits.set(limits(&gateway));
-            serve_one(Rc::clone(&gateway), Arc::clone(&activity), buf_bytes, req)
+            answering.get_or_init(|| CountGuard::new(Rc::clone(&gateway), |g| &g.answering));
+            last_limits.set(current_limits(&gateway));
+            serve_request(Rc::clone(&gateway), Arc::clone(&activity), buf_bytes, req)
         })
     };
     let mut builder = http1::Builder::new();
-    // The connection's own timer tells a slow head from an idle connection.
+    // Disabled because `serve_caller` has its own timer, which distinguishes a slow head from an idle connection.
     builder.header_read_timeout(None);
     builder.max_buf_size(buf_bytes);
     let io = WatchedIo::new(stream, Arc::clone(&activity));
     let mut connection = pin!(builder.serve_connection(io, service));
     let mut phase = gateway.phase.subscribe();
     loop {
-        // A new connection gets an answer first: closed unread, its caller would spend a retry on a
-        // process that may still serve it, or tell when to come back.
+        // A new connection gets an answer before it is closed. If it were closed unread, its caller would spend a
+        // retry, although this process may still serve the request or answer when to retry.
         if *phase.borrow_and_update() >= Phase::Closing && answering.get().is_some() {
             connection.as_mut().graceful_shutdown();
         }
-        let limits = longest(last_limits.get(), limits(&gateway));
-        let wait = match time_left(&activity, &limits) {
-            TimeLeft::Wait(wait) => wait,
-            TimeLeft::CloseIdle => {
+        let limits = longest_timeouts(last_limits.get(), current_limits(&gateway));
+        let wait = match check_connection(&activity, &limits) {
+            ConnectionCheck::Wait(wait) => wait,
+            ConnectionCheck::CloseIdle => {
                 connection.as_mut().graceful_shutdown();
                 limits.header_timeout
             }
-            TimeLeft::CutHead => return,
+            ConnectionCheck::CutHead => return,
         };
         tokio::select! {
             _ = connection.as_mut() => return,
@@ -105,49 +105,49 @@
     }
 }
 
-/// Counts one in a count of the gateway while it lives.
-struct Counted {
+/// Adds one to a counter of the gateway until dropped.
+struct CountGuard {
     gateway: Rc<Gateway>,
     count: fn(&Gateway) -> &Cell<usize>,
 }
 
-impl Counted {
-    fn new(gateway: Rc<Gateway>, count: fn(&Gateway) -> &Cell<usize>) -> Counted {
+impl CountGuard {
+    fn new(gateway: Rc<Gateway>, count: fn(&Gateway) -> &Cell<usize>) -> CountGuard {
         let cell = count(&gateway);
         cell.set(cell.get() + 1);
-        Counted { gateway, count }
+        CountGuard { gateway, count }
     }
 }
 
-impl Drop for Counted {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         let cell = (self.count)(&self.gateway);
         cell.set(cell.get() - 1);
     }
 }
 
-/// What becomes of a connection, by what it does and for how long.
-enum TimeLeft {
+/// What to do with a connection, by its activity and how long that has lasted.
+enum ConnectionCheck {
     Wait(Duration),
     CloseIdle,
     CutHead,
 }
 
-fn time_left(activity: &Activity, limits: &CallerLimits) -> TimeLeft {
+fn check_connection(activity: &Activity, limits: &CallerLimits) -> ConnectionCheck {
     let (doing, elapsed) = activity.now();
     let (limit, over) = match doing {
-        Doing::Request => return TimeLeft::Wait(limits.header_timeout),
-        Doing::Head => (limits.header_timeout.max(limits.idle_timeout), TimeLeft::CutHead),
-        Doing::Idle => (limits.idle_timeout + IDLE_SLACK, TimeLeft::CloseIdle),
+        Doing::Request => return ConnectionCheck::Wait(limits.header_timeout),
+        Doing::Head => (limits.header_timeout.max(limits.idle_timeout), ConnectionCheck::CutHead),
+        Doing::Idle => (limits.idle_timeout + IDLE_SLACK, ConnectionCheck::CloseIdle),
     };
     if elapsed >= limit {
         return over;
     }
-    TimeLeft::Wait((limit - elapsed).min(limits.header_timeout))
+    ConnectionCheck::Wait((limit - elapsed).min(limits.header_timeout))
 }
 
-/// The longer times of two limits: a caller may keep to either.
-fn longest(one: CallerLimits, other: CallerLimits) -> CallerLimits {
+/// Returns the longer timeouts of two limits, as a caller may keep to either.
+fn longest_timeouts(one: CallerLimits, other: CallerLimits) -> CallerLimits {
     CallerLimits {
         header_timeout: one.header_timeout.max(other.header_timeout),
         idle_timeout: one.idle_timeout.max(other.idle_timeout),
@@ -155,14 +155,14 @@
     }
 }
 
-/// The limits of the configuration in force.
-fn limits(gateway: &Gateway) -> CallerLimits {
+/// Returns the limits of the configuration in force.
+fn current_limits(gateway: &Gateway) -> CallerLimits {
     let knowledge = gateway.knowledge.borrow();
-    knowledge.routes().map_or(FIRST_LIMITS, |routes| routes.cfg().limits)
+    knowledge.routes().map_or(DEFAULT_LIMITS, |routes| routes.cfg().limits)
 }
 
-/// Serves one request of a connection that takes heads of `buf_bytes`.
-async fn serve_one(
+/// Serves one request of a connection that accepts heads of up to `buf_bytes`.
+async fn serve_request(
     gateway: Rc<Gateway>,
     activity: Arc<Activity>,
     buf_bytes: usize,
@@ -170,12 +170,12 @@
 ) -> Result<Response<AnswerBody>, Cut> {
     activity.on_request();
     let arrived = Instant::now();
-    let unanswered = Counted::new(Rc::clone(&gateway), |g| &g.unanswered);
+    let unanswered = CountGuard::new(Rc::clone(&gateway), |g| &g.unanswered);
     let res = handle_request(Rc::clone(&gateway), req, arrived).await;
     drop(unanswered);
     let mut answer = res?;
-    // A new connection takes heads of the size that the configuration allows by now.
-    let is_outdated = limits(&gateway).max_header_bytes > buf_bytes;
+    // A new connection accepts heads of the size that the configuration allows by now.
+    let is_outdated = current_limits(&gateway).max_header_bytes > buf_bytes;
     if is_outdated || *gateway.phase.borrow() >= Phase::Leaving {
         answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
--- a/crates/gateway/src/connection/mod.rs
+++ b/crates/gateway/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as one connection of a caller.
+//! State and tasks of one caller connection.
 
 mod caller_connection;
 
