--- a/crates/gateway/src/request/final_answer.rs
+++ b/crates/gateway/src/request/final_answer.rs
@@ -1,4 +1,4 @@
-//! What a caller is told in the end: an endpoint's whole answer, or the gateway's own.
+//! Builds the final answer to a caller: an endpoint's complete answer, or the gateway's own refusal.
 
 use crate::process::Count;
 use crate::request::Call;
@@ -10,15 +10,15 @@
 use sorrellock_routing::request::AbandonedOutcome;
 use std::time::Duration;
 
-/// An endpoint's answer that came whole, for the caller.
-pub(crate) fn pass_on(endpoint: &Parts, body: Bytes) -> Response<AnswerBody> {
+/// Returns an endpoint's complete answer for the caller.
+pub(crate) fn forward_answer(endpoint: &Parts, body: Bytes) -> Response<AnswerBody> {
     let mut answer = Response::new(AnswerBody::whole(body));
     *answer.status_mut() = endpoint.status;
     *answer.headers_mut() = answer_headers(&endpoint.headers);
     answer
 }
 
-/// An answer of the gateway's own.
+/// Returns the gateway's own refusal, with a Retry-After header if `retry_delay` is given.
 pub(crate) fn refusal(status: StatusCode, retry_delay: Option<Duration>) -> Response<AnswerBody> {
     let text = status.canonical_reason().unwrap_or("refused");
     let mut answer = Response::new(AnswerBody::whole(Bytes::from_static(text.as_bytes())));
@@ -31,8 +31,8 @@
     answer
 }
 
-/// The final answer of a request that was given up.
-pub(crate) fn give_up(
+/// Records the end of an abandoned request and returns its final answer.
+pub(crate) fn abandon_call(
     call: &Call,
     abandoned_outcome: AbandonedOutcome,
     retry_delay: Duration,
@@ -45,6 +45,6 @@
             (Count::TimedOut, "may have run", StatusCode::GATEWAY_TIMEOUT)
         }
     };
-    call.end.tell(count, outcome, status.as_u16(), why);
+    call.end.report(count, outcome, status.as_u16(), why);
     refusal(status, (abandoned_outcome == AbandonedOutcome::NotRun).then_some(retry_delay))
 }
