--- a/crates/daemon/tests/gateway/entries.rs
+++ b/crates/daemon/tests/gateway/entries.rs
@@ -243,7 +243,7 @@
 
     let second = fleet.gateway("two");
 
-    first.wait_for_line(&["\"gateway heard\"", "two"]);
+    first.wait_for_line(&["\"gateway discovered\"", "two"]);
     for name in ["bad", "worse"] {
         second.wait_for_line(&["\"registration of a gateway refused\"", name]);
     }
@@ -283,7 +283,7 @@
     let proxy = FakeProxy::start(new_ip(), fleet.store.addr()).expect("a proxy");
     let second = GatewayProcess::start("two", "north", proxy.addr());
     fleet.wait_whole(&second);
-    second.wait_for_line(&["\"gateway heard\"", "one"]);
+    second.wait_for_line(&["\"gateway discovered\"", "one"]);
     proxy.set_mode(ProxyMode::Silent);
 
     fleet.store.put("servers", "ledger-1", Value::Null);
--- a/crates/daemon/tests/gateway/eras/news.rs
+++ b/crates/daemon/tests/gateway/eras/news.rs
@@ -56,7 +56,7 @@
     let proxy = FakeProxy::start(new_ip(), fleet.store.addr()).expect("a proxy");
     let second = GatewayProcess::start("two", "north", proxy.addr());
     fleet.wait_whole(&second);
-    second.wait_for_line(&["\"gateway heard\"", "one"]);
+    second.wait_for_line(&["\"gateway discovered\"", "one"]);
     let engine = &fleet.engines[0];
     let copy = copy_before_entry(&fleet, &second, engine);
     wait_for_entry(&fleet, &first, engine);
--- a/crates/daemon/tests/gateway/eras/own_objects.rs
+++ b/crates/daemon/tests/gateway/eras/own_objects.rs
@@ -66,7 +66,7 @@
     let first = fleet.gateway("one");
     first.wait_for_line(&["\"lead taken\""]);
     let second = fleet.gateway("two");
-    second.wait_for_line(&["\"gateway heard\"", "one"]);
+    second.wait_for_line(&["\"gateway discovered\"", "one"]);
     let other = fleet.store.object("sorrellock-gateways", "two").expect("its registration");
     let record = json!({ "instance": "two", "incarnation": other["incarnation"], "takes": 1 });
     let copy = fleet.store.copy().with("sorrellock-leads", "placement", record);
--- a/crates/daemon/tests/gateway/full_endpoints.rs
+++ b/crates/daemon/tests/gateway/full_endpoints.rs
@@ -32,7 +32,7 @@
     let answer = send(gateway.callers(), "/match/a", &new_request(), Some(KEY));
 
     assert_eq!(answer.status, 200, "{answer:?}");
-    assert_eq!(gateway.lines(&["\"endpoint told that it leaves\""]), Vec::<String>::new());
+    assert_eq!(gateway.lines(&["\"endpoint reported that it is leaving\""]), Vec::<String>::new());
 }
 
 /// An endpoint whose entry may only have lapsed in an outage of the store is removed once it says that it leaves.
@@ -69,7 +69,7 @@
     let answer = send(gateway.callers(), "/match/a", &new_request(), Some(KEY));
 
     assert_eq!(answer.status, 503, "{answer:?}");
-    gateway.wait_for_line(&["\"endpoint told that it leaves\""]);
+    gateway.wait_for_line(&["\"endpoint reported that it is leaving\""]);
 }
 
 /// What callers saw: refusals for another second, and streams of other gateways that left their runs on the engine, as a suspicion was reported of
--- a/crates/daemon/tests/gateway/incarnations.rs
+++ b/crates/daemon/tests/gateway/incarnations.rs
@@ -218,7 +218,7 @@
     let proxy = FakeProxy::start(new_ip(), fleet.store.addr()).expect("a proxy");
     let second = GatewayProcess::start("two", "north", proxy.addr());
     fleet.wait_whole(&second);
-    second.wait_for_line(&["\"gateway heard\"", "one"]);
+    second.wait_for_line(&["\"gateway discovered\"", "one"]);
     let engine = &fleet.engines[0];
 
     proxy.set_mode(ProxyMode::Silent);
@@ -236,7 +236,7 @@
     let first = fleet.gateway("one");
     first.wait_for_line(&["\"lead taken\""]);
     let second = fleet.gateway("two");
-    second.wait_for_line(&["\"gateway heard\"", "one"]);
+    second.wait_for_line(&["\"gateway discovered\"", "one"]);
     let engine = &fleet.engines[0];
     let (born, addr) = (engine.born(), engine.addr());
     engine.restart();
--- a/crates/daemon/tests/gateway/knowledge.rs
+++ b/crates/daemon/tests/gateway/knowledge.rs
@@ -11,7 +11,7 @@
     let proxy = FakeProxy::start(new_ip(), fleet.store.addr()).expect("a proxy");
     let second = GatewayProcess::start("two", "north", proxy.addr());
     fleet.wait_whole(&second);
-    second.wait_for_line(&["\"gateway heard\"", "one"]);
+    second.wait_for_line(&["\"gateway discovered\"", "one"]);
     (second, proxy)
 }
 
@@ -73,7 +73,7 @@
         sender.send_to(&[0xfe, 1, 2, 3], to).expect("it is sent");
     }
 
-    let told = ["\"message of a gateway can't be read\"", &from, "Format(254)"];
+    let told = ["\"unreadable message from a gateway\"", &from, "Format(254)"];
     gateway.wait_for_line(&told);
     wait_for("the count", || gateway.metric("sorrellock_peer_messages_bad") == 3.0);
     assert_eq!(gateway.lines(&told).len(), 1);
@@ -274,7 +274,7 @@
     let gateways: Vec<_> = (0..13).map(start).collect();
     let last = gateways.last().expect("there are some");
     for index in 0..12 {
-        last.wait_for_line(&["\"gateway heard\"", &name(index)]);
+        last.wait_for_line(&["\"gateway discovered\"", &name(index)]);
     }
     // Its watch under way may still tell of this one.
     fleet.engines[3].leave();
@@ -292,7 +292,7 @@
     let first = fleet.gateway("one");
     first.wait_for_line(&["\"lead taken\""]);
     let second = fleet.gateway("two");
-    second.wait_for_line(&["\"gateway heard\"", "one"]);
+    second.wait_for_line(&["\"gateway discovered\"", "one"]);
     assert!(second.lines(&["\"lead taken\""]).is_empty());
 
     drop(first);
--- a/crates/daemon/tests/gateway/late.rs
+++ b/crates/daemon/tests/gateway/late.rs
@@ -157,7 +157,7 @@
     let lead = fleet.gateway("one");
     lead.wait_for_line(&["\"lead taken\""]);
     let other = fleet.gateway("two");
-    other.wait_for_line(&["\"gateway heard\"", "\"one\""]);
+    other.wait_for_line(&["\"gateway discovered\"", "\"one\""]);
 
     for _ in 0..3 {
         pause(&other, LEAD_LAPSE);
--- a/crates/daemon/tests/gateway/leaving.rs
+++ b/crates/daemon/tests/gateway/leaving.rs
@@ -179,7 +179,7 @@
 fn a_refused_caller_is_told_to_come_back_at_once_only_where_another_gateway_is_ready() {
     let fleet = fleet();
     let gateways = [fleet.gateway("one"), fleet.gateway("two")];
-    gateways[0].wait_for_line(&["\"gateway heard\"", "two"]);
+    gateways[0].wait_for_line(&["\"gateway discovered\"", "two"]);
     let refusal = |gateway: &GatewayProcess| {
         let mut told = None;
         wait_for("a stream to be refused", || {
--- a/crates/daemon/tests/gateway/life.rs
+++ b/crates/daemon/tests/gateway/life.rs
@@ -55,7 +55,7 @@
 
     gateway.signal(Signal::SIGHUP);
 
-    gateway.wait_for_line(&["settings read again"]);
+    gateway.wait_for_line(&["settings reloaded"]);
     let answer = send(gateway.callers(), "/status/a", &new_request(), Some(KEY));
     assert_eq!(answer.status, 200);
 }
--- a/crates/daemon/tests/gateway/silence.rs
+++ b/crates/daemon/tests/gateway/silence.rs
@@ -53,7 +53,7 @@
 fn a_change_after_a_short_silence_that_took_all_watches_is_in_force_before_they_end() {
     let fleet = fleet();
     let gateways = [fleet.gateway("one"), fleet.gateway("two")];
-    gateways[1].wait_for_line(&["\"gateway heard\"", "one"]);
+    gateways[1].wait_for_line(&["\"gateway discovered\"", "one"]);
     let began = Instant::now();
     fleet.store.put_and_fall_silent("config", "main", config(7, &[KEY]));
     wait_for("both watches to be sent", || fleet.store.unanswered("config") >= 2);
@@ -108,8 +108,8 @@
 fn two_gateways_ask_an_endpoint_whose_entry_lapsed_and_all_hear_that_it_leaves() {
     let fleet = fleet();
     let gateways = ["one", "two", "three"].map(|instance| fleet.gateway(instance));
-    gateways[2].wait_for_line(&["\"gateway heard\"", "one"]);
-    gateways[2].wait_for_line(&["\"gateway heard\"", "two"]);
+    gateways[2].wait_for_line(&["\"gateway discovered\"", "one"]);
+    gateways[2].wait_for_line(&["\"gateway discovered\"", "two"]);
     let engine = &fleet.engines[0];
     fleet.store.put_and_fall_silent("servers", "engine-0", engine.entry());
     for gateway in &gateways {
@@ -144,7 +144,7 @@
     for (gateway, name) in gateways.iter().zip(names) {
         fleet.wait_whole(gateway);
         for other in names.iter().filter(|other| **other != name) {
-            gateway.wait_for_line(&["\"gateway heard\"", other]);
+            gateway.wait_for_line(&["\"gateway discovered\"", other]);
         }
     }
     let index = index_that_is_asked_by(&fleet, &names[1..], &names);
--- a/crates/daemon/tests/gateway/streams.rs
+++ b/crates/daemon/tests/gateway/streams.rs
@@ -167,7 +167,7 @@
     };
     let proxies: Vec<FakeProxy> = fleet.engines.iter().map(proxy_of).collect();
     let gateways = [fleet.gateway("one"), fleet.gateway("two")];
-    gateways[1].wait_for_line(&["\"gateway heard\"", "one"]);
+    gateways[1].wait_for_line(&["\"gateway discovered\"", "one"]);
     let other = Begun::new(&gateways[0]);
     let runner = fleet.runner(&other.request).expect("an engine runs it");
     let own = Begun::at(&gateways[1], &fleet, runner.id());
@@ -179,7 +179,7 @@
     gateways[0].wait_for_line(&["\"endpoint suspected\"", runner.id()]);
     gateways[1].signal(Signal::SIGCONT);
 
-    let told = ["\"endpoint suspected\"", runner.id(), "another gateway told", "\"one\""];
+    let told = ["\"endpoint suspected\"", runner.id(), "reported by another gateway", "\"one\""];
     gateways[1].wait_for_line(&told);
     for Begun { mut body, .. } in [other, own] {
         assert_eq!(read_rest(&mut body), whole_stream());
--- a/crates/gateway/src/process/gateway.rs
+++ b/crates/gateway/src/process/gateway.rs
@@ -1,4 +1,4 @@
-//! What all parts of a gateway share.
+//! State shared by all parts of a gateway.
 
 use crate::process::{
     Beliefs, Count, Counters, LivePath, PathBook, Pool, ReportedSuspect, SUSPECT_FOR, StoreHeard,
@@ -21,41 +21,41 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
 
-/// Expected time until a gateway is ready that has no configuration yet: the store answers in ms.
+/// Expected time until a gateway without a configuration is ready: the store answers within milliseconds.
 const READY_SOON: Duration = Duration::from_millis(500);
 
-/// How far the process is on its way out.
+/// Stage of the process's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
-    /// Takes all requests.
+    /// Accepts all requests.
     Running,
-    /// Not ready any more; takes what still comes, and closes each connection after its answer.
+    /// No longer ready. Accepts requests that still arrive, and closes each connection after its answer.
     Leaving,
-    /// Closes connections that are idle.
+    /// Closes idle connections.
     Closing,
-    /// Gives up calls that haven't been answered, so that their callers are told.
+    /// Abandons unanswered calls with a final answer to their callers.
     Ending,
-    /// Has ended; what is under way is cut.
+    /// Has ended; remaining calls are cut off.
     Ended,
 }
 
-/// An endpoint's load, as its last answer told and as this gateway adds to it.
+/// An endpoint's load: what it reported in its last answer, and what this gateway adds to it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct EndpointUse {
-    /// Requests of this gateway that run there.
+    /// Number of this gateway's requests that run there.
     pub(crate) in_flight: u32,
-    /// Mean time of an answer, in ms; 0 before the first.
+    /// Mean duration of an answer, in ms; 0 before the first.
     pub(crate) mean_ms: f64,
-    /// What it told last.
+    /// The load that it last reported, and when.
     pub(crate) told: Option<(EndpointLoad, Instant)>,
 }
 
-/// What all parts of a gateway share.
+/// State shared by all parts of a gateway.
 pub(crate) struct Gateway {
-    /// As at the start; [`Gateway::bounds`] holds the bounds in force.
+    /// Settings at the start; [`Gateway::bounds`] holds the bounds in force.
     pub(crate) settings: Settings,
     pub(crate) bounds: Cell<Bounds>,
-    /// Drawn at the start: tells lifetimes apart.
+    /// Random number drawn at the start, which distinguishes restarts.
     pub(crate) incarnation: u64,
     pub(crate) began: Instant,
     pub(crate) counters: Counters,
@@ -63,50 +63,50 @@
     pub(crate) pauses: RefCell<LoopPauses>,
     pub(crate) knowledge: RefCell<Knowledge>,
     pub(crate) beliefs: RefCell<Beliefs>,
-    /// Which incarnation of each endpoint is the present one.
+    /// The current incarnation of each endpoint.
     pub(crate) incarnations: RefCell<Incarnations>,
-    /// Faults of objects in the store that the log has told.
+    /// Faults of objects in the store that have been logged.
     pub(crate) told_faults: RefCell<ToldFaults>,
     pub(crate) paths: Rc<RefCell<PathBook>>,
     pub(crate) pool: RefCell<Pool>,
     pub(crate) uses: RefCell<HashMap<Incarnation, EndpointUse>>,
     pub(crate) breakers: RefCell<Breakers<Incarnation, SystemClock>>,
     pub(crate) budgets: RefCell<HashMap<ServiceName, RetryWindow>>,
-    /// How long streams take. The configuration names the services, which bounds it.
+    /// Pace of the streams of each service. Bounded by the services in the configuration.
     pub(crate) stream_paces: RefCell<HashMap<ServiceName, StreamPace>>,
-    /// This gateway places layers.
+    /// Whether this gateway is the lead, which places layers.
     pub(crate) leads: Cell<bool>,
-    /// When the store last told this gateway all that it had.
+    /// When this gateway's data from the store was last confirmed complete.
     pub(crate) store_heard: StoreHeard,
-    /// The newest era of the store that was heard of.
+    /// The newest known era of the store.
     pub(crate) eras: StoreEras,
-    /// When that became known.
+    /// When the newest era became known.
     pub(crate) era_began: Cell<Option<Instant>>,
     /// When a call of the store last failed.
     pub(crate) store_failed: Cell<Option<Instant>>,
-    /// Endpoints that refused a request, and when they were last asked why.
+    /// Endpoints that refused a request, and when each was last checked for the reason.
     pub(crate) refusers_checked: RefCell<HashMap<Incarnation, Instant>>,
-    /// Requests under way.
+    /// Number of requests in flight.
     pub(crate) in_flight: Cell<usize>,
-    /// Requests without the head of an answer.
+    /// Number of requests that have no answer head yet.
     pub(crate) unanswered: Cell<usize>,
-    /// Open connections that had a request: each may have an answer to write yet.
+    /// Number of open connections that had a request: each may still have an answer to write.
     pub(crate) answering: Cell<usize>,
-    /// Wakes the placer: an engine came, went or is suspected.
+    /// Wakes the placer when an engine appears, disappears or is suspected.
     pub(crate) engines_changed: Notify,
-    /// Wakes the messages to other gateways: an endpoint failed.
+    /// Wakes the sender of messages to other gateways when an endpoint is suspected.
     pub(crate) suspected: Notify,
-    /// Clients for questions to endpoints.
+    /// Clients for queries to endpoints.
     pub(crate) probes: RefCell<HashMap<Incarnation, Client>>,
     /// Wakes requests that wait for the first configuration.
     pub(crate) configured: Notify,
     pub(crate) phase: watch::Sender<Phase>,
-    /// It was told to end.
+    /// Set once the process was signalled to end.
     pub(crate) leaving: Cell<Option<Leaving>>,
 }
 
 impl Gateway {
-    /// A gateway that knows nothing yet.
+    /// Returns a gateway without configuration or endpoints.
     pub(crate) fn new(settings: Settings, incarnation: u64) -> Gateway {
         let knowledge = RefCell::new(Knowledge::new(settings.bounds.leave_within));
         Gateway {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Puts other bounds in force.
+    /// Applies changed bounds.
     pub(crate) fn set_bounds(&self, bounds: Bounds) {
         info!("bounds changed", kv: { before:? = self.bounds.get(), now:? = bounds });
         self.bounds.set(bounds);
@@ -154,12 +154,12 @@
         }
     }
 
-    /// Whether new connections are wanted.
+    /// Returns whether the gateway is ready for new connections.
     pub(crate) fn is_ready(&self) -> bool {
         *self.phase.borrow() == Phase::Running && self.knowledge.borrow().routes().is_some()
     }
 
-    /// Time until this gateway, or its successor, is expected to be ready.
+    /// Returns the time until this gateway, or its successor, is expected to be ready.
     pub(crate) fn ready_in(&self, now: Instant) -> Duration {
         match self.leaving.get() {
             Some(leaving) => leaving.successor_in(now.into_std()),
@@ -168,8 +168,8 @@
         }
     }
 
-    /// When a caller that this gateway refuses as it ends should come back, by what the gateways tell
-    /// each other.
+    /// Returns the delay after which a caller refused by this ending gateway should retry, from the expected readiness
+    /// of all gateways.
     pub(crate) fn come_back(&self, now: Instant) -> Duration {
         let Some(leaving) = self.leaving.get() else { return Duration::ZERO };
         let beliefs = self.beliefs.borrow();
@@ -177,13 +177,13 @@
         leaving.come_back(&near, &elsewhere, now.into_std())
     }
 
-    /// Whether a stream that lost its run may go on over another path before this gateway ends.
+    /// Returns whether a stream that lost its run may continue over another path before this gateway ends.
     pub(crate) fn may_resume(&self) -> bool {
         let now = Instant::now().into_std();
         self.leaving.get().is_none_or(|leaving| leaving.resumes(now))
     }
 
-    /// Goes on to a later phase of the way out.
+    /// Advances to a later phase. Does nothing if the phase is reached already.
     pub(crate) fn reach(&self, phase: Phase) {
         self.phase.send_if_modified(|now| {
             let is_later = *now < phase;
@@ -192,20 +192,20 @@
         });
     }
 
-    /// Ends when the process gives up what hasn't been answered.
+    /// Waits until the process abandons unanswered calls.
     pub(crate) async fn ending(&self) {
         let mut phase = self.phase.subscribe();
         // The sender lives as long as the gateway.
         let _ = phase.wait_for(|phase| *phase >= Phase::Ending).await;
     }
 
-    /// Whether the process gives up what hasn't been answered.
+    /// Returns whether the process abandons unanswered calls.
     pub(crate) fn is_ending(&self) -> bool {
         *self.phase.borrow() >= Phase::Ending
     }
 
-    /// The time that an answer of a service usually takes: the median of its endpoints' means, so that a
-    /// single slow one doesn't have all calls refused.
+    /// Returns the usual duration of a service's answers: the median of its endpoints' means, so that a single slow
+    /// endpoint doesn't cause all calls to be refused.
     pub(crate) fn usual_answer(&self, service: &str) -> Duration {
         let knowledge = self.knowledge.borrow();
         let uses = self.uses.borrow();
@@ -217,8 +217,7 @@
         Duration::from_secs_f64(median_ms / 1e3)
     }
 
-    /// Puts a configuration in force if it is newer than the one before. `parsing` is the time that it took
-    /// to parse.
+    /// Applies a configuration if it is newer than the current one. `parsing` is the time that it took to parse.
     pub(crate) fn apply_configuration(&self, cfg: Configuration, source: &str, parsing: Duration) {
         let began = Instant::now();
         let version = cfg.version;
@@ -239,21 +238,21 @@
         self.engines_changed.notify_waiters();
     }
 
-    /// An endpoint's entry is gone.
+    /// Removes an endpoint whose entry is gone.
     pub(crate) fn remove_endpoint(&self, id: &str, source: &str) {
         if self.knowledge.borrow_mut().remove_endpoint(id, Instant::now().into_std()) {
             self.endpoint_gone(id, source);
         }
     }
 
-    /// Tells and forgets an endpoint that was removed.
+    /// Logs an endpoint that was removed, and drops its state.
     pub(crate) fn endpoint_gone(&self, id: &str, source: &str) {
         info!("endpoint gone", kv: { endpoint = id, source });
         self.uses.borrow_mut().retain(|incarnation, _| incarnation.id != id);
         self.engines_changed.notify_waiters();
     }
 
-    /// An endpoint failed an attempt: it gets nothing new for a while.
+    /// Suspects an endpoint that failed an attempt, so that it gets no new work for a while.
     pub(crate) fn suspect(&self, incarnation: &Incarnation, evidence: FailureEvidence, why: &str) {
         let now = Instant::now();
         if self.beliefs.borrow_mut().suspect(incarnation, evidence, now, SUSPECT_FOR) {
@@ -264,8 +263,9 @@
         }
     }
 
-    /// Takes which engines failed other gateways. Such a report breaks the paths through its engine that miss their events here,
-    /// too. It counts for as long as it is repeated: paths that got an event just before the engine failed miss the next one only later.
+    /// Applies other gateways' reports of failed engines. A report breaks the paths through its engine whose streams
+    /// miss their events here, too. It counts for as long as it is repeated: a path that got an event just before the
+    /// engine failed misses the next one only later.
     pub(crate) fn take_reported_failures(&self) {
         let now = Instant::now();
         let mut broken = Vec::new();
@@ -291,12 +291,12 @@
         if self.beliefs.borrow_mut().hear_suspect(report, instance, now, SUSPECT_FOR) {
             warn!("endpoint suspected", kv: {
                 endpoint = report.incarnation.id.as_str(), evidence:? = report.evidence,
-                why = "another gateway told", instance
+                why = "reported by another gateway", instance
             });
         }
     }
 
-    /// An endpoint gave a sign of life: a suspicion of it was wrong, or is out of date.
+    /// Records a sign of life of an endpoint, which refutes a suspicion that was wrong or is out of date.
     pub(crate) fn note_alive(&self, incarnation: &Incarnation, sign: &str) {
         let now = Instant::now();
         let Some(suspicion) = self.beliefs.borrow_mut().refute(incarnation, now) else { return };
@@ -308,7 +308,7 @@
         });
     }
 
-    /// An event came over a broken path: its engines live, and may get new work again.
+    /// Restores a broken path after an event on it: its engines are alive, and may get new work again.
     pub(crate) fn on_path_restored(&self, live: &LivePath) {
         let now = Instant::now();
         for part in &live.path.parts {
@@ -319,7 +319,7 @@
         self.engines_changed.notify_waiters();
     }
 
-    /// Why an endpoint is taken to be dead, and by whom; none while it is not. For log lines.
+    /// Formats for log lines why an endpoint is considered dead, and by whom. Returns `None` if it isn't.
     pub(crate) fn judgement(&self, incarnation: &Incarnation) -> Option<String> {
         let now = Instant::now();
         if self.has_ended(incarnation) || self.incarnations.borrow().is_over(incarnation) {
@@ -331,10 +331,11 @@
             return Some(format!("suspected by {} for {ms} ms", suspicion.source));
         }
         let is_dead = beliefs.engine(incarnation, now).is_some_and(|engine| engine.is_dead);
-        is_dead.then(|| "dead by the lead".to_owned())
+        is_dead.then(|| "declared dead by the lead".to_owned())
     }
 
-    /// The client for questions to an endpoint in one incarnation. Its connections are kept: new ones are priced.
+    /// Returns the client for queries to an incarnation of an endpoint. Its connections are kept, as new ones have a
+    /// cost.
     pub(crate) fn probe(&self, incarnation: &Incarnation, addr: SocketAddr) -> Client {
         let mut probes = self.probes.borrow_mut();
         match probes.get(incarnation) {
@@ -347,19 +348,20 @@
         }
     }
 
-    /// An endpoint told that it takes nothing more.
+    /// Marks an endpoint as leaving after it reported to this gateway that it accepts no more requests.
     pub(crate) fn believe_leaving(&self, incarnation: &Incarnation) {
         let now = Instant::now();
         if self.beliefs.borrow_mut().believe_leaving(incarnation, now) {
             let source = self.settings.instance.as_str();
-            info!("endpoint told that it leaves", kv: { endpoint = incarnation.id.as_str(), source });
+            info!("endpoint reported that it is leaving", kv: {
+                endpoint = incarnation.id.as_str(), source
+            });
             self.refresh_paths();
             self.engines_changed.notify_waiters();
         }
     }
 
-    /// Whether an endpoint has ended or is cut off, as far as the lead can tell, or its incarnation is over
-    /// for good.
+    /// Returns whether the lead considers an endpoint dead or unreachable, or its incarnation has ended for good.
     pub(crate) fn is_dead(&self, incarnation: &Incarnation) -> bool {
         if self.incarnations.borrow().is_over(incarnation) {
             return true;
@@ -368,20 +370,20 @@
         beliefs.engine(incarnation, Instant::now()).is_some_and(|engine| engine.is_dead)
     }
 
-    /// Whether an incarnation is over for good, or its endpoint is no longer known. One that the lead takes to be dead may only have
-    /// paused, and still run what it was sent.
+    /// Returns whether an incarnation has ended for good, or its endpoint is no longer known. One that the lead
+    /// considers dead may only have paused, and still run what it was sent.
     pub(crate) fn is_gone(&self, incarnation: &Incarnation) -> bool {
         self.incarnations.borrow().is_over(incarnation) || !self.is_listed(incarnation)
     }
 
-    /// Whether an endpoint has ended, or failed just now as if it had.
+    /// Returns whether an endpoint has ended, is considered dead or is suspected.
     pub(crate) fn is_lost(&self, incarnation: &Incarnation) -> bool {
         self.has_ended(incarnation)
             || self.is_dead(incarnation)
             || self.beliefs.borrow().is_suspect(incarnation, Instant::now())
     }
 
-    /// Whether the list holds an endpoint in this incarnation.
+    /// Returns whether this incarnation of an endpoint is the listed one.
     pub(crate) fn is_listed(&self, incarnation: &Incarnation) -> bool {
         self.knowledge.borrow().is_current(incarnation)
     }
--- a/crates/gateway/src/process/peers/beliefs.rs
+++ b/crates/gateway/src/process/peers/beliefs.rs
@@ -1,4 +1,5 @@
-//! What a gateway believes of engines and of other gateways, beyond what the store tells.
+//! Live state of engines and other gateways that the store doesn't hold: own observations, other gateways'
+//! reports and the lead's view.
 
 use super::recent_news::RecentNews;
 use crate::process::{EndedIncarnation, EngineView, LeadView, PeerMessage, ReportedSuspect};
@@ -11,37 +12,38 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A gateway that wasn't heard for so long is taken to be gone: ten lost messages in a row.
+/// Time without a message after which a gateway counts as gone: ten lost messages in a row.
 const PEER_LAPSE: Duration = Duration::from_millis(1_500);
-/// A gateway that wasn't heard for so long spends none of the retry budget: its window is over.
+/// Time without a message after which a gateway no longer shares the retry budget: its window has passed.
 const BUDGET_SHARER_LAPSE: Duration = Duration::from_secs(15);
-/// A successor that wasn't heard for so long doesn't come.
+/// Time without a message after which a leaving gateway's successor is no longer expected.
 const SUCCESSOR_LAPSE: Duration = Duration::from_secs(15);
-/// Expected time until a successor is ready that is overdue.
+/// Expected time until an overdue successor is ready.
 const SUCCESSOR_OVERDUE: Duration = Duration::from_millis(500);
-/// What the lead told last is used for so long; after that the list of endpoints is fresher.
+/// How long the lead's last view is used; after that the list of endpoints is fresher.
 pub(crate) const LEAD_VIEW_LAPSE: Duration = Duration::from_secs(4);
-/// For how long an endpoint that failed an attempt gets no new work, if the lead doesn't say more.
+/// How long an endpoint that failed an attempt gets no new work, unless the lead reports more about it.
 pub(crate) const SUSPECT_FOR: Duration = Duration::from_millis(1_000);
 
-/// How many gateways ask an endpoint on behalf of all: one of them may not reach it, or may not know yet that its entry is gone.
+/// Number of gateways that probe an endpoint on behalf of all: one of them may not reach it, or may not know yet
+/// that its entry is gone.
 const ASKERS: usize = 2;
-/// For how long it is believed that an endpoint leaves that said so itself: its entry says so by
-/// then, but for an outage of the store.
+/// How long an endpoint's own report that it is leaving counts. By then its entry says the same, except during an
+/// outage of the store.
 pub(crate) const LEAVING_FOR: Duration = Duration::from_secs(10);
 
 /// Another gateway.
 pub(crate) struct Peer {
-    /// Where it listens for messages.
+    /// Address for messages to it.
     pub(crate) addr: SocketAddr,
-    /// Its newest message.
+    /// Its latest message.
     pub(crate) message: PeerMessage,
-    /// When that came.
+    /// When the latest message arrived.
     pub(crate) heard: Instant,
 }
 
 impl Peer {
-    /// How long ago the store told it itself all that it had of a kind.
+    /// Returns the time since its own data of a kind was last confirmed complete by the store.
     pub(crate) fn store_heard(&self, kind: Kind, now: Instant) -> Option<Duration> {
         let told_ms = match kind {
             Kind::Configuration => self.message.configuration_heard_ms,
@@ -51,8 +53,8 @@
         Some(Duration::from_millis(told_ms?.into()) + (now - self.heard))
     }
 
-    /// Time until it, or the successor that it told of, is expected to be ready; nothing for one that
-    /// is gone without a word.
+    /// Returns the time until it, or the successor that it announced, is expected to be ready; `None` if it went
+    /// silent without announcing one.
     fn ready_in(&self, now: Instant) -> Option<Duration> {
         let silent = now - self.heard;
         let told = Duration::from_millis(self.message.ready_in_ms.into());
@@ -63,19 +65,19 @@
     }
 }
 
-/// An endpoint that told that it takes nothing more.
+/// State of an endpoint that reported that it accepts no more requests.
 struct Leaving {
     until: Instant,
-    /// It told this gateway itself.
+    /// Whether it reported to this gateway itself.
     is_own: bool,
 }
 
-/// Who found that an endpoint failed.
+/// The gateway that found that an endpoint failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum SuspicionSource {
     /// This gateway.
     Own,
-    /// Another gateway, by instance.
+    /// Another gateway, by its instance name.
     Gateway(String),
 }
 
@@ -88,15 +90,15 @@
     }
 }
 
-/// An endpoint that failed.
+/// Suspicion that an endpoint is dead, after it failed.
 #[derive(Clone, Debug)]
 pub(crate) struct Suspicion {
     pub(crate) since: Instant,
-    /// It gets nothing new until then.
+    /// The endpoint gets no new work until then.
     until: Instant,
     pub(crate) source: SuspicionSource,
     evidence: FailureEvidence,
-    /// The endpoint has answered since.
+    /// Whether the endpoint has answered since.
     is_refuted: bool,
 }
 
@@ -115,41 +117,43 @@
     }
 }
 
-/// What a gateway believes beyond what the store tells.
+/// Live state of engines and other gateways, beyond what the store holds.
 #[derive(Default)]
 pub(crate) struct Beliefs {
-    /// By instance.
+    /// The other gateways, by instance name.
     pub(crate) peers: HashMap<String, Peer>,
-    /// Gateways that the store tells of, this one included.
+    /// Number of gateways registered in the store, this one included.
     pub(crate) registered: usize,
-    /// Endpoints that failed.
+    /// Suspected endpoints.
     suspects: HashMap<Incarnation, Suspicion>,
-    /// Endpoints that told themselves that they take nothing more, and until when that is believed
-    /// without an entry that says so.
+    /// Endpoints that reported that they accept no more requests, and until when that counts without an entry that
+    /// says so.
     leaving: HashMap<Incarnation, Leaving>,
-    /// Ends of incarnations that this gateway found.
+    /// Ended incarnations that this gateway found.
     ended: RecentNews<EndedIncarnation>,
-    /// Endpoints without an entry that told this gateway that they leave.
+    /// Endpoints without an entry that reported to this gateway that they are leaving.
     left: RecentNews<Incarnation>,
+    /// The lead's last view, and when the lead last sent a message.
     lead: Option<(LeadView, Instant)>,
-    /// Where each engine stands in what the lead told.
+    /// Index of each engine in the lead's view.
     lead_index: HashMap<Incarnation, usize>,
 }
 
 impl Beliefs {
-    /// Gateways heard of late, this one aside.
+    /// Returns the other gateways that sent a message recently.
     pub(crate) fn live_peers(&self, now: Instant) -> impl Iterator<Item = &Peer> {
         self.peers.values().filter(move |peer| now - peer.heard < PEER_LAPSE)
     }
 
-    /// Gateways that share the retry budget, this one included: those that can't be heard may
-    /// still spend it.
+    /// Returns the number of gateways that share the retry budget, this one included. Registered gateways that
+    /// can't be reached count, as they may still spend it.
     pub(crate) fn gateways(&self, now: Instant) -> usize {
         let heard = self.peers.values().filter(|peer| now - peer.heard < BUDGET_SHARER_LAPSE);
         (heard.count() + 1).max(self.registered)
     }
 
-    /// When each of the other gateways is expected to be ready: those of a data centre, and the others.
+    /// Returns the time until each other gateway is expected to be ready: first those of the data centre, then the
+    /// others.
     pub(crate) fn ready_in(
         &self,
         data_centre: &str,
@@ -164,14 +168,14 @@
         (near, others)
     }
 
-    /// How many live gateways come before `instance`, by name.
+    /// Returns how many live gateways sort before `instance` by name.
     pub(crate) fn rank(&self, instance: &str, now: Instant) -> u32 {
         self.live_peers(now).filter(|peer| peer.message.instance.as_str() < instance).count() as u32
     }
 
-    /// How many live gateways with streams that begin at an engine go before this one, by its `incarnation`, in probing their
-    /// path. The order is that of the data centre: the same gateways probe its engines each time, over connections that they
-    /// have.
+    /// Returns how many live gateways with streams that begin at an engine go before this one, given by its
+    /// `incarnation`, in probing their path. The order is fixed per data centre, so that the same gateways probe its
+    /// engines each time, over connections that they have open.
     pub(crate) fn probers_before(
         &self,
         head: &Incarnation,
@@ -186,7 +190,7 @@
         probers_before(data_centre, incarnation, others.map(|peer| peer.message.incarnation))
     }
 
-    /// The engines that failed other gateways, by their newest messages, each with the gateway that reports it.
+    /// Returns the engines that other gateways suspect, by their latest messages, each with the reporting gateway.
     pub(crate) fn reported_suspects(
         &self,
         now: Instant,
@@ -197,14 +201,15 @@
         })
     }
 
-    /// How many live gateways were told of the endpoints by the store within `age`.
+    /// Returns how many live gateways had their endpoints confirmed complete by the store within `age`.
     pub(crate) fn watchers(&self, age: Duration, now: Instant) -> usize {
         let heard =
             |peer: &&Peer| peer.store_heard(Kind::Endpoints, now).is_some_and(|heard| heard < age);
         self.live_peers(now).filter(heard).count()
     }
 
-    /// An endpoint failed: it gets nothing new for a while. Tells whether that is news.
+    /// Suspects an endpoint that failed, so that it gets no new work for a while. Returns whether this gateway
+    /// didn't suspect it before.
     pub(crate) fn suspect(
         &mut self,
         incarnation: &Incarnation,
@@ -229,7 +234,8 @@
         is_news
     }
 
-    /// An endpoint failed another gateway, and does not serve this one either. Tells whether that is news.
+    /// Suspects an endpoint that another gateway reports and that doesn't serve this one either. Returns whether it
+    /// wasn't suspected before.
     pub(crate) fn hear_suspect(
         &mut self,
         report: &ReportedSuspect,
@@ -246,12 +252,12 @@
         is_news
     }
 
-    /// The suspicion of an endpoint, if any holds.
+    /// Returns the current suspicion of an endpoint, if any.
     pub(crate) fn suspicion(&self, incarnation: &Incarnation, now: Instant) -> Option<&Suspicion> {
         self.suspects.get(incarnation).filter(|suspicion| suspicion.until > now)
     }
 
-    /// A suspected endpoint gave a sign of life. The suspicion, if that is the first sign since.
+    /// Marks the suspicion of an endpoint as refuted by a sign of life. Returns it if that is the first such sign.
     pub(crate) fn refute(&mut self, incarnation: &Incarnation, now: Instant) -> Option<Suspicion> {
         let suspicion =
             self.suspects.get_mut(incarnation).filter(|suspicion| suspicion.until > now)?;
@@ -259,14 +265,14 @@
         is_first.then(|| suspicion.clone())
     }
 
-    /// A suspicion was wrong, or is out of date.
+    /// Ends a suspicion that was wrong or is out of date.
     pub(crate) fn withdraw(&mut self, incarnation: &Incarnation, now: Instant) {
         if let Some(suspicion) = self.suspects.get_mut(incarnation) {
             suspicion.until = suspicion.until.min(now);
         }
     }
 
-    /// An endpoint told this gateway that it takes nothing more. Tells whether that is news.
+    /// Records an endpoint's own report that it accepts no more requests. Returns whether that is new.
     pub(crate) fn believe_leaving(&mut self, incarnation: &Incarnation, now: Instant) -> bool {
         let is_news = !self.is_leaving(incarnation, now);
         let leaving = Leaving { until: now + LEAVING_FOR, is_own: true };
@@ -274,32 +280,32 @@
         is_news
     }
 
-    /// Another gateway heard that from an endpoint.
+    /// Records such a report that another gateway received.
     pub(crate) fn hear_leaving(&mut self, incarnation: &Incarnation, now: Instant) {
         let leaving = Leaving { until: now + LEAVING_FOR, is_own: false };
         self.leaving.insert(incarnation.clone(), leaving);
     }
 
-    /// Whether an endpoint told that it takes nothing more.
+    /// Returns whether an endpoint reported that it accepts no more requests.
     pub(crate) fn is_leaving(&self, incarnation: &Incarnation, now: Instant) -> bool {
         self.leaving.get(incarnation).is_some_and(|leaving| leaving.until > now)
     }
 
-    /// Endpoints that told this gateway that they take nothing more. What others heard is theirs
-    /// to pass on, so that it ends.
+    /// Returns the endpoints that reported to this gateway itself that they accept no more requests. Reports that
+    /// others received aren't passed on: otherwise they would circulate indefinitely.
     pub(crate) fn leaving_own(&mut self, now: Instant) -> Vec<Incarnation> {
         self.leaving.retain(|_, leaving| leaving.until > now);
         let own = self.leaving.iter().filter(|(_, leaving)| leaving.is_own);
         own.map(|(incarnation, _)| incarnation.clone()).collect()
     }
 
-    /// Whether an endpoint is suspected.
+    /// Returns whether an endpoint is suspected.
     pub(crate) fn is_suspect(&self, incarnation: &Incarnation, now: Instant) -> bool {
         self.suspicion(incarnation, now).is_some()
     }
 
-    /// The endpoints that failed this gateway itself: what others heard is theirs to pass on. Drops
-    /// what is over.
+    /// Returns the endpoints that this gateway suspects by its own evidence, as others send theirs themselves. Drops
+    /// expired suspicions.
     pub(crate) fn suspects_own(&mut self, now: Instant) -> Vec<ReportedSuspect> {
         self.suspects.retain(|_, suspect| suspect.until > now);
         let own = self.suspects.iter().filter(|(_, suspect)| suspect.is_own());
@@ -310,34 +316,35 @@
         own.map(report).collect()
     }
 
-    /// An answer told this gateway the end of an incarnation.
+    /// Records the end of an incarnation that this gateway learned from an answer.
     pub(crate) fn note_end(&mut self, ended: EndedIncarnation, now: Instant) {
         self.ended.note(ended, now);
     }
 
-    /// The ends that this gateway found of late.
+    /// Returns the ended incarnations that this gateway found recently.
     pub(crate) fn ended_own(&mut self, now: Instant) -> Vec<EndedIncarnation> {
         self.ended.current(now)
     }
 
-    /// An endpoint without an entry told this gateway that it leaves.
+    /// Records an endpoint without an entry that reported to this gateway that it is leaving.
     pub(crate) fn note_left(&mut self, incarnation: Incarnation, now: Instant) {
         self.left.note(incarnation, now);
     }
 
-    /// The endpoints without an entry that told this gateway of late that they leave.
+    /// Returns the endpoints without an entry that recently reported to this gateway that they are leaving.
     pub(crate) fn left_own(&mut self, now: Instant) -> Vec<Incarnation> {
         self.left.current(now)
     }
 
-    /// Whether this gateway, by its `incarnation`, is one of those that ask an endpoint on behalf of all.
+    /// Returns whether this gateway, given by its `incarnation`, is one of those that probe an endpoint on behalf of
+    /// all.
     pub(crate) fn asks_for_all(&self, id: &str, incarnation: u64, now: Instant) -> bool {
         let others = self.live_peers(now).map(|peer| peer.message.incarnation);
         let all = others.chain([incarnation]);
         rendezvous_several(id.as_bytes(), all, ASKERS).contains(&incarnation)
     }
 
-    /// Takes what a lead tells, unless a newer lead was heard. Tells whether it was taken.
+    /// Applies a lead's view, unless a lead with a higher term was active recently. Returns whether it was applied.
     pub(crate) fn apply_lead(&mut self, view: LeadView, now: Instant) -> bool {
         let newer = |(known, heard): &(LeadView, Instant)| {
             known.term > view.term && now - *heard < LEAD_VIEW_LAPSE
@@ -351,7 +358,7 @@
         true
     }
 
-    /// The lead whose word was taken last still leads.
+    /// Extends the current view if its lead, given by `term`, still leads.
     pub(crate) fn hear_lead(&mut self, term: Revision, now: Instant) {
         if let Some((view, heard)) = &mut self.lead
             && view.term == term
@@ -360,13 +367,13 @@
         }
     }
 
-    /// What the lead told last, if that is fresh, and when.
+    /// Returns the lead's last view, if it is fresh, and the lead's last contact.
     pub(crate) fn lead(&self, now: Instant) -> Option<(&LeadView, Instant)> {
         let (view, heard) = self.lead.as_ref()?;
         (now - *heard < LEAD_VIEW_LAPSE).then_some((view, *heard))
     }
 
-    /// What the lead told of an engine, if that is fresh.
+    /// Returns the lead's view of an engine, if it is fresh.
     pub(crate) fn engine(&self, incarnation: &Incarnation, now: Instant) -> Option<&EngineView> {
         let (view, _) = self.lead(now)?;
         view.engines.get(*self.lead_index.get(incarnation)?)
--- a/crates/gateway/src/process/peers/catch_up.rs
+++ b/crates/gateway/src/process/peers/catch_up.rs
@@ -1,4 +1,4 @@
-//! Has another gateway hand over what it knows and this one doesn't.
+//! Fetches configurations and endpoints that another gateway has and this one lacks.
 
 use super::peers::{Peers, TELL_INTERVAL};
 use http::Method;
@@ -11,16 +11,16 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How long another gateway may know more before it is asked: a watch brings it sooner.
+/// How long another gateway may be ahead before its data is fetched: a working watch delivers it sooner.
 const BEHIND_PATIENCE: Duration = Duration::from_millis(300);
-/// Time for a handover: a large configuration takes a fifth of a core some 100 ms.
+/// Timeout of a handover request: a large configuration takes some 100 ms on a fifth of a core.
 const HANDOVER_LIMIT: Duration = Duration::from_millis(1_500);
-/// Where a gateway is asked for its handover, before the configuration that the asker has and the
-/// revision up to which it knows the endpoints.
+/// Path prefix of handover requests. The requester's configuration version and the revision up to which it knows
+/// the endpoints follow.
 pub(crate) const HANDOVER_PATH: &str = "/handover/";
 
 impl Peers {
-    /// Asks another gateway for what it knows and this one doesn't, for ever.
+    /// Fetches what this gateway lacks from gateways that are ahead of it, indefinitely.
     pub(crate) async fn catch_up(self: Rc<Self>) {
         let mut behind_since: Option<Instant> = None;
         loop {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A live gateway that knows a newer configuration, or more of the endpoints.
+    /// Returns a live gateway that has a newer configuration or newer endpoints.
     fn ahead(&self) -> Option<(String, SocketAddr)> {
         let now = Instant::now();
         let own = self.gateway.knowledge.borrow().known();
@@ -61,7 +61,7 @@
             Ok(handover) => {
                 let parsing = answered.elapsed();
                 if handover.configuration.is_some() {
-                    // A watch that lives would have brought it sooner.
+                    // A working watch would have delivered it sooner.
                     self.gateway.store_heard.doubt(Kind::Configuration);
                 }
                 let version = handover.configuration.as_ref().map_or(0, |cfg| cfg.version);
@@ -70,9 +70,9 @@
                 self.gateway.apply_handover(handover, instance, parsing);
             }
             Err(err) => {
-                warn!("not caught up from a gateway", kv: { instance, err = err.as_str() });
+                warn!("failed to catch up from a gateway", kv: { instance, err = err.as_str() });
                 self.sources.borrow_mut().on_failure(instance, Instant::now().into_std());
-                // What the other one knows, the store can tell.
+                // The store has what the other gateway has.
                 self.gateway.store_heard.doubt_all();
             }
         }
--- a/crates/gateway/src/process/peers/mod.rs
+++ b/crates/gateway/src/process/peers/mod.rs
@@ -1,4 +1,4 @@
-//! The other gateways: what they tell, and what is believed of it.
+//! Messages between gateways, and the state of the fleet that is derived from them.
 
 mod beliefs;
 mod catch_up;
--- a/crates/gateway/src/process/peers/peer_message.rs
+++ b/crates/gateway/src/process/peers/peer_message.rs
@@ -1,68 +1,70 @@
-//! What gateways tell each other, as datagrams.
+//! The datagrams that gateways send each other.
 
 use serde::{Deserialize, Serialize};
 use sorrellock_routing::process::{
     FailureEvidence, Incarnation, Known, LayerRange, Revision, StartMillis, StoreEra,
 };
 
-/// The format of messages; another one can't be read. It rises with each change of what they hold.
+/// Format version of the messages; other versions can't be decoded. Raise it with every change of the fields.
 const FORMAT: u8 = 3;
 
-/// Why a message can't be read.
+/// Why a message can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Unreadable {
-    /// Its sender is of a version with another format.
+    /// The sender uses this other format version.
     Format(u8),
-    /// It is no message.
+    /// The bytes are not a valid message.
     Malformed,
 }
 
-/// What a gateway tells all others, several times a second. The newest one replaces those before.
+/// The state that a gateway sends to all others several times a second. Each message replaces the sender's
+/// previous one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct PeerMessage {
     /// The sender's instance.
     pub(crate) instance: String,
-    /// Drawn at the sender's start: tells its lifetimes apart.
+    /// Random number drawn when the sender starts, which distinguishes its restarts.
     pub(crate) incarnation: u64,
     /// The sender's data centre.
     pub(crate) data_centre: String,
-    /// In how many ms the sender, or its successor, is expected to be ready; 0 if it is.
+    /// Milliseconds until the sender, or its successor, is expected to be ready; 0 if it is ready.
     pub(crate) ready_in_ms: u32,
-    /// Rises with each message of an incarnation.
+    /// Increases with each message of an incarnation.
     pub(crate) sequence: u64,
-    /// The newest era of the store that the sender heard of.
+    /// The newest era of the store that the sender knows of.
     pub(crate) store_era: StoreEra,
-    /// What the sender knows: the configuration that it has in force, 0 for none, and the endpoints.
+    /// Version of the configuration that the sender has in force, 0 for none, and revision up to which it knows the
+    /// endpoints.
     pub(crate) known: Known,
-    /// How long ago the store last told the sender itself all that it had of the configuration.
+    /// Milliseconds since the sender's own data of the configuration was last confirmed complete by the store.
     pub(crate) configuration_heard_ms: Option<u32>,
-    /// The same of the endpoints.
+    /// The same for the endpoints.
     pub(crate) endpoints_heard_ms: Option<u32>,
-    /// What the sender's streams take, by the first engine of their path.
+    /// Load of the sender's streams, by the first engine of their path.
     pub(crate) loads: Vec<HeadLoad>,
-    /// Engines that the sender takes to be dead or cut off, by its own streams.
+    /// Engines that the sender suspects to be dead or unreachable, by its own evidence.
     pub(crate) suspects: Vec<ReportedSuspect>,
-    /// Endpoints that told the sender that they take nothing more.
+    /// Endpoints that reported to the sender itself that they accept no more requests.
     pub(crate) leaving: Vec<Incarnation>,
-    /// Incarnations whose end the sender found by an answer of a later one, of late.
+    /// Incarnations whose end the sender found recently, by an answer of a later incarnation.
     pub(crate) ended: Vec<EndedIncarnation>,
-    /// Endpoints without an entry that told the sender that they leave, of late.
+    /// Endpoints without an entry that recently reported to the sender that they are leaving.
     pub(crate) left: Vec<Incarnation>,
-    /// Endpoints that had left before the era in which the sender knows the endpoints.
+    /// Endpoints that had left before the era of the sender's endpoint list began.
     pub(crate) left_before_era: Vec<Incarnation>,
-    /// The sender leads, with this term.
+    /// The sender's term, if it is the lead.
     pub(crate) lead_term: Option<Revision>,
-    /// What the lead knows, where it is news or was not told for a while.
+    /// The lead's view, if it changed or wasn't sent for a while.
     pub(crate) lead: Option<LeadView>,
 }
 
 impl PeerMessage {
-    /// As it is sent: the format first.
+    /// Encodes the message, after a byte for the format version.
     pub(crate) fn encode(&self) -> Result<Vec<u8>, postcard::Error> {
         postcard::to_extend(self, vec![FORMAT])
     }
 
-    /// Reads a message.
+    /// Decodes a message.
     pub(crate) fn decode(buf: &[u8]) -> Result<PeerMessage, Unreadable> {
         let (format, message) = buf.split_first().ok_or(Unreadable::Malformed)?;
         if *format != FORMAT {
@@ -72,7 +74,7 @@
     }
 }
 
-/// An engine that failed the gateway that reports it.
+/// An engine that the reporting gateway suspects.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ReportedSuspect {
     /// The engine.
@@ -80,44 +82,44 @@
     pub(crate) evidence: FailureEvidence,
 }
 
-/// An incarnation of an endpoint that is over, and the one that was found in its place.
+/// An incarnation of an endpoint that has ended, and the one that replaced it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct EndedIncarnation {
-    /// The incarnation that is over.
+    /// The incarnation that has ended.
     pub(crate) ended: Incarnation,
-    /// The start of the later one.
+    /// Start time of the later incarnation.
     pub(crate) successor: Option<StartMillis>,
 }
 
-/// What one gateway's streams take on the paths that begin at one engine.
+/// Load of one gateway's streams on the paths that begin at one engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct HeadLoad {
     /// The first engine.
     pub(crate) head: Incarnation,
-    /// Tokens reserved by the streams.
+    /// Number of tokens that the streams reserve.
     pub(crate) tokens: u32,
-    /// The streams.
+    /// Number of streams.
     pub(crate) streams: u32,
 }
 
-/// What the lead knows of the engines.
+/// The lead's view of the engines.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LeadView {
-    /// Revision of the lead's object: a higher one goes before.
+    /// Revision of the lead's object in the store: the highest one wins.
     pub(crate) term: Revision,
     /// The engines.
     pub(crate) engines: Vec<EngineView>,
 }
 
-/// What the lead knows of one engine.
+/// The lead's view of one engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct EngineView {
-    /// The engine, in the incarnation that the lead has heard.
+    /// The engine, in the incarnation that answered the lead.
     pub(crate) incarnation: Incarnation,
     /// The layers that requests may use.
     pub(crate) usable: LayerRange,
-    /// Its step times against those of its kind.
+    /// Step time relative to engines of the same kind.
     pub(crate) slowness: f32,
-    /// It doesn't answer the lead.
+    /// Whether the lead gets no answers from it.
     pub(crate) is_dead: bool,
 }
--- a/crates/gateway/src/process/peers/peers.rs
+++ b/crates/gateway/src/process/peers/peers.rs
@@ -1,5 +1,5 @@
-//! Talks with the other gateways: loads, suspicions, what the lead knows, and what the store has
-//! told to others first.
+//! Exchanges messages with the other gateways: loads, suspected endpoints, the lead's view of the engines, and
+//! how recent each gateway's data from the store is.
 
 use crate::process::{Count, Gateway, HeadLoad, LeadView, Load, Peer, PeerMessage, Unreadable};
 use sorrellock_platform::Kind;
@@ -13,19 +13,20 @@
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How often a gateway tells the others. Loads that are a tenth of a second old differ by one or
-/// two streams from the true ones at 15 requests a second.
+/// Interval between messages to the other gateways. At 15 requests a second, loads that are 100 ms old are off
+/// by one or two streams.
 pub(super) const TELL_INTERVAL: Duration = Duration::from_millis(100);
-/// From so many gateways on each tells more seldom: messages grow with their square, and those
-/// between data centres are priced.
+/// Number of gateways above which the send interval grows: the number of messages is quadratic in it, and
+/// messages between data centres have a cost.
 const MANY_GATEWAYS: u32 = 12;
-/// The longest time between two messages: a silent lead is replaced after a second.
+/// Upper bound of the send interval: a silent lead is replaced after a second.
 const TELL_INTERVAL_MOST: Duration = Duration::from_millis(250);
-/// How often the lead tells all that it knows where nothing changed, for those that missed it.
+/// Interval at which the lead repeats an unchanged view, for gateways that missed the last message.
 const VIEW_INTERVAL: Duration = Duration::from_millis(700);
-/// The most senders of which it is remembered that the log told of them: more than a fleet has gateways.
+/// Maximum number of senders of unreadable messages to remember, so that each is logged once: more than a fleet
+/// has gateways.
 const MAX_TOLD_UNREADABLE: usize = 1_024;
-/// Largest datagram.
+/// Largest datagram, in bytes.
 const MAX_DATAGRAM: usize = 60_000;
 
 /// Messages to and from the other gateways.
@@ -33,15 +34,15 @@
     pub(super) gateway: Rc<Gateway>,
     pub(super) socket: UdpSocket,
     pub(super) sequence: Cell<u64>,
-    /// What this gateway told as the lead, and when.
+    /// The view that this gateway last sent as the lead, and when.
     pub(super) told_view: RefCell<Option<(LeadView, Instant)>>,
-    /// Where gateways listen that the store tells of.
+    /// Peer addresses of the gateways that are registered in the store.
     pub(super) registered: RefCell<HashSet<SocketAddr>>,
-    /// What this gateway knows while it is the lead.
+    /// This gateway's view of the engines while it is the lead.
     pub(super) own_view: Rc<RefCell<Option<LeadView>>>,
-    /// Whom to ask for what the others know.
+    /// Chooses the gateway to catch up from.
     pub(super) sources: RefCell<NewsSources>,
-    /// Senders of which the log told that their messages can't be read.
+    /// Senders whose unreadable messages have been logged.
     told_unreadable: RefCell<HashSet<SocketAddr>>,
 }
 
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Tells the others, for ever.
+    /// Sends messages to the other gateways, indefinitely.
     pub(crate) async fn tell(self: Rc<Self>) {
         loop {
             self.tell_once();
@@ -71,7 +72,7 @@
             let gateways = self.gateway.beliefs.borrow().gateways(Instant::now()) as u32;
             let interval = TELL_INTERVAL * gateways / MANY_GATEWAYS;
             let interval = interval.clamp(TELL_INTERVAL, TELL_INTERVAL_MOST);
-            // A suspicion is told at once; others are spared their own questions.
+            // A new suspicion is sent at once, so that the others needn't probe the endpoint themselves.
             let _ = timeout(interval, self.gateway.suspected.notified()).await;
         }
     }
@@ -80,7 +81,7 @@
         let message = self.message();
         let Ok(buf) = message.encode() else { return };
         for addr in self.targets() {
-            // A lost message is made up for by the next one.
+            // A lost message is superseded by the next one.
             let _ = self.socket.try_send_to(&buf, addr);
         }
     }
@@ -121,7 +122,7 @@
         }
     }
 
-    /// What the lead knows, if it is news or wasn't told for a while.
+    /// Returns the lead's view if it changed or wasn't sent for [`VIEW_INTERVAL`].
     fn view_to_tell(&self, now: Instant) -> Option<LeadView> {
         let view = self.own_view.borrow().clone()?;
         let mut told = self.told_view.borrow_mut();
@@ -158,7 +159,7 @@
         self.gateway.paths.borrow_mut().set_peer_loads(loads);
     }
 
-    /// Takes the others' messages, for ever.
+    /// Receives messages from the other gateways, indefinitely.
     pub(crate) async fn listen(self: Rc<Self>) {
         let mut buf = vec![0; MAX_DATAGRAM];
         loop {
@@ -166,7 +167,7 @@
                 Ok((len, from)) => self.on_datagram(&buf[..len], from),
                 Err(err) => {
                     let text = err.to_string();
-                    warn!("message of a gateway not received", kv: { err = text.as_str() });
+                    warn!("failed to receive a message from a gateway", kv: { err = text.as_str() });
                     sleep(TELL_INTERVAL).await;
                 }
             }
@@ -183,13 +184,13 @@
         }
     }
 
-    /// During an upgrade gateways of other versions are there: it is told once of each.
+    /// Logs each sender once: during an upgrade some gateways use another message format.
     fn on_unreadable(&self, unreadable: Unreadable, from: SocketAddr) {
         self.gateway.counters.add(Count::PeerMessagesBad);
         let mut told = self.told_unreadable.borrow_mut();
         if told.len() < MAX_TOLD_UNREADABLE && told.insert(from) {
             let from = from.to_string();
-            warn!("message of a gateway can't be read", kv: {
+            warn!("unreadable message from a gateway", kv: {
                 from = from.as_str(), why:? = unreadable
             });
         }
@@ -210,7 +211,7 @@
         }
         if before.is_none_or(|peer| peer.message.incarnation != message.incarnation) {
             let addr = from.to_string();
-            info!("gateway heard", kv: {
+            info!("gateway discovered", kv: {
                 instance = message.instance.as_str(), addr = addr.as_str()
             });
         }
@@ -232,7 +233,7 @@
             .collect::<Vec<_>>();
         for incarnation in &told {
             beliefs.hear_leaving(incarnation, now);
-            info!("endpoint told that it leaves", kv: {
+            info!("endpoint reported that it is leaving", kv: {
                 endpoint = incarnation.id.as_str(), source = message.instance.as_str()
             });
             is_changed = true;
--- a/crates/gateway/src/process/peers/recent_news.rs
+++ b/crates/gateway/src/process/peers/recent_news.rs
@@ -1,16 +1,17 @@
-//! News that this gateway found, and tells the others for a while.
+//! Updates that this gateway found itself and repeats in its messages for a while.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// For how long a piece of news is told: fifty messages, of which some are lost.
+/// How long an update is repeated: fifty messages, of which some are lost.
 const TOLD_FOR: Duration = Duration::from_secs(5);
-/// The most pieces told at once, some 40 B each: the last ones of a data centre whose engines all do the same.
+/// Maximum number of updates in a message, some 40 bytes each: the latest ones, where all engines of a data
+/// centre change at once.
 const MAX_TOLD: usize = 64;
 
-/// The last pieces of news, each with the time at which it was found. What others found is theirs to pass on, so that it
-/// ends.
+/// The latest updates, each with the time at which it was found. Updates found by other gateways aren't passed
+/// on: otherwise they would circulate indefinitely.
 pub(super) struct RecentNews<T> {
     found: VecDeque<(T, Instant)>,
 }
@@ -22,7 +23,7 @@
 }
 
 impl<T: Clone> RecentNews<T> {
-    /// This gateway found something.
+    /// Adds an update that this gateway found. Drops the oldest one where there are too many.
     pub(super) fn note(&mut self, news: T, now: Instant) {
         if self.found.len() >= MAX_TOLD {
             self.found.pop_front();
@@ -30,7 +31,7 @@
         self.found.push_back((news, now));
     }
 
-    /// What is told now.
+    /// Returns the updates to send now, and drops the expired ones.
     pub(super) fn current(&mut self, now: Instant) -> Vec<T> {
         self.found.retain(|(_, found)| now - *found < TOLD_FOR);
         self.found.iter().map(|(news, _)| news.clone()).collect()
--- a/crates/gateway/src/process/peers/registration.rs
+++ b/crates/gateway/src/process/peers/registration.rs
@@ -1,4 +1,4 @@
-//! The gateways' objects in the store: how they find each other.
+//! Registration of gateways in the store, by which they discover each other.
 
 use super::peers::Peers;
 use crate::process::Count;
@@ -12,14 +12,14 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often the list of gateways is read from the store: newcomers tell the others by themselves.
+/// Interval at which the gateways are listed from the store. New gateways contact the others by themselves.
 const LIST_INTERVAL: Duration = Duration::from_secs(10);
-/// In a new era of the store all gateways that reach it have written their objects again by then.
+/// Time after which, in a new era of the store, all gateways that reach it have written their objects again.
 const ALL_REGISTERED_WITHIN: Duration = Duration::from_secs(15);
-/// The wait after a failed write or list of gateways.
+/// Delay after a failed write or list of gateways.
 const REGISTER_RETRY: Duration = Duration::from_millis(1_000);
 
-/// A gateway's object in the store.
+/// The object of a gateway in the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Registration {
     addr: SocketAddr,
@@ -27,7 +27,8 @@
 }
 
 impl Peers {
-    /// Writes this gateway's object and reads those of the others, for ever; in each new era of the store anew, as its copy may lack them.
+    /// Writes this gateway's object and lists those of the others, indefinitely. Writes it again in each new era of
+    /// the store, whose older copy of the data may lack it.
     pub(crate) async fn register(self: Rc<Self>, store: Store) {
         let mut written_in = None;
         loop {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Waits until the list is to be read again: soon, where an era after `era` has begun.
+    /// Waits until the next list is due: [`LIST_INTERVAL`], or this gateway's turn once an era after `era` has begun.
     async fn rest_until_list(&self, era: StoreEra) {
         tokio::select! {
             () = sleep(LIST_INTERVAL) => {}
@@ -52,7 +53,8 @@
         }
     }
 
-    /// `written_in` is the era of the store in which its object was written last.
+    /// Writes this gateway's object if needed and lists the others. `written_in` is the era of the store in which
+    /// the object was last written.
     async fn register_once(
         &self,
         store: &Store,
@@ -67,7 +69,7 @@
         let addrs = listing.objects.iter().filter_map(|object| self.registered_addr(object));
         let mut addrs: HashSet<SocketAddr> = addrs.collect();
         if self.gateway.is_era_new(ALL_REGISTERED_WITHIN) {
-            // Others write theirs again at their own pace; they share the retry budget all the same.
+            // Others may not have written their objects again yet, but still share the retry budget.
             addrs.extend(self.registered.borrow().iter());
         }
         *self.registered.borrow_mut() = addrs;
@@ -75,7 +77,7 @@
         Ok(())
     }
 
-    /// Writes this gateway's object where the store has none, or another one. The era in which it is there.
+    /// Writes this gateway's object unless the store already has the same. Returns the era of the stored object.
     async fn write_own(&self, store: &Store, is_again: bool) -> Result<StoreEra, StoreError> {
         let name = &self.gateway.settings.instance;
         let own = Registration { addr: self.own_addr(), incarnation: self.gateway.incarnation };
@@ -95,7 +97,7 @@
         Ok(written.era)
     }
 
-    /// Where a registered gateway listens. One that can't be read costs no other.
+    /// Returns a gateway's registered address. A registration that can't be read is skipped.
     fn registered_addr(&self, object: &StoredObject) -> Option<SocketAddr> {
         match object.read::<Registration>() {
             Ok(registration) => Some(registration.addr),
--- a/crates/gateway/src/process/run.rs
+++ b/crates/gateway/src/process/run.rs
@@ -1,4 +1,4 @@
-//! Starts and ends the process.
+//! Startup and shutdown of the process.
 
 use crate::connection::accept_callers;
 use crate::process::placer::Placer;
@@ -22,44 +22,44 @@
 use tokio::task::{JoinSet, LocalSet};
 use tokio::time::{Instant, sleep};
 
-/// Time for a call of the store that is no list or watch: it answers in milliseconds, and a slow
-/// one some fifty times later. Lists and watches are given up sooner, by their schedule.
+/// Timeout of the answer's head for calls of the store, except lists and watches: the store answers in milliseconds, a
+/// slow one takes some fifty times as long. Lists and watches are abandoned sooner, by their schedule.
 const STORE_HEAD_LIMIT: Duration = Duration::from_millis(1_500);
-/// The same for a whole answer: a full list or a large configuration takes a small instance long to read.
+/// The same for a whole answer: a small instance takes long to read a full list or a large configuration.
 const STORE_LIMIT: Duration = Duration::from_millis(4_500);
-/// How often idle connections are looked through.
+/// Interval at which expired connections and state are removed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// How often it is looked whether the settings file changed without a signal.
+/// Interval at which the settings file is checked for changes made without a signal.
 const SETTINGS_LOOK: Duration = Duration::from_secs(2);
-/// After SIGTERM, time until idle connections are closed: by then balancers mostly send elsewhere, and
-/// callers have had their next answer with the word that the connection closes.
+/// Time from SIGTERM until idle connections are closed: by then load balancers mostly send elsewhere, and callers have
+/// got their next answer with the notice that the connection closes.
 const CLOSE_IDLE_AFTER: Duration = Duration::from_millis(3_000);
-/// Kept of the time between SIGTERM and SIGKILL for the end itself.
+/// Part of the time between SIGTERM and SIGKILL that is reserved for the shutdown itself.
 const END_MARGIN: Duration = Duration::from_millis(500);
-/// How often an ending process looks whether answers are left.
+/// Interval at which an ending process checks for remaining answers.
 const END_TICK: Duration = Duration::from_millis(50);
-/// Most time, of the margin, for the answers of requests that the end gives up. They are a few hundred bytes
-/// each, but a process with a tenth of a core may have a hundred of them.
+/// Maximum part of the margin for the answers of abandoned requests. They are a few hundred bytes each, but a process
+/// with a tenth of a core may have a hundred of them.
 const LAST_ANSWERS_MOST: Duration = Duration::from_millis(350);
-/// How often the end looks whether they are written; each time all that can go on does.
+/// Interval at which the shutdown checks whether they are written; meanwhile all tasks that can make progress run.
 const LAST_ANSWERS_TICK: Duration = Duration::from_millis(10);
-/// Path of the metrics page's port, which the deployment's file names.
+/// Port of the metrics page, which the deployment's file also names.
 const METRICS_PORT: u16 = 9_464;
 
 /// Why a gateway can't start.
 #[derive(Debug)]
 pub enum StartError {
-    /// The settings can't be used.
+    /// The settings are invalid.
     Settings(String),
-    /// A listener or the runtime can't be had.
+    /// A listener or the runtime can't be created.
     Io {
-        /// What was tried.
+        /// The step that failed.
         step: String,
         /// Why it failed.
         source: io::Error,
     },
-    /// A task that runs as long as the process has ended, by a fault of the program. The process
-    /// ends as well: it is started anew, whole.
+    /// A task that should run as long as the process has ended, which is a bug. The process ends too, so that it is
+    /// restarted as a whole.
     TaskEnded(String),
 }
 
@@ -86,14 +86,14 @@
     parse_settings(&text).map_err(|err| StartError::Settings(format!("{}: {err}", path.display())))
 }
 
-/// Runs a gateway with a settings file until it is told to end.
+/// Runs a gateway with a settings file until SIGTERM.
 pub fn run(path: &Path) -> Result<(), StartError> {
     let settings = read_settings(path)?;
     let _log = set_up_log();
     run_with(settings, path)
 }
 
-/// The same in a process that has set up a log of its own.
+/// The same in a process that has set up its own logger.
 pub fn run_with_log_set_up(path: &Path) -> Result<(), StartError> {
     run_with(read_settings(path)?, path)
 }
@@ -105,7 +105,7 @@
     let res = local.block_on(&runtime, serve(settings, path));
     if let Err(err) = &res {
         let text = err.to_string();
-        error!("gateway ends by a fault", kv: { err = text.as_str() });
+        error!("gateway failed", kv: { err = text.as_str() });
     }
     res
 }
@@ -114,7 +114,7 @@
     StartError::Io { step: step.into(), source }
 }
 
-/// The signals that the process takes.
+/// The signals that the process handles.
 struct Signals {
     terminate: Signal,
     hang_up: Signal,
@@ -128,7 +128,7 @@
 }
 
 async fn serve(settings: Settings, path: &Path) -> Result<(), StartError> {
-    // First of all: a signal that is not taken ends the process.
+    // Before anything else: a signal without a handler ends the process.
     let signals = Signals::new()?;
     let incarnation = rand::random();
     let gateway = Rc::new(Gateway::new(settings, incarnation));
@@ -186,7 +186,8 @@
     Ok(())
 }
 
-/// Drops connections that are too old and what belongs to incarnations that ended, and works out paths anew as suspicions end, for ever.
+/// Drops expired connections and the state of ended incarnations, and recomputes the paths as suspicions expire,
+/// indefinitely.
 async fn sweep(gateway: Rc<Gateway>) {
     loop {
         sleep(SWEEP_INTERVAL).await;
@@ -233,28 +234,28 @@
     Ok(())
 }
 
-/// The settings file may have changed: bounds are in force at once, the rest after a restart.
+/// Reloads the settings file: bounds take effect at once, the rest after a restart.
 fn read_settings_again(gateway: &Gateway, path: &Path) {
     let settings = match read_settings(path) {
         Ok(settings) => settings,
         Err(err) => {
             let text = err.to_string();
-            error!("changed settings refused", kv: { err = text.as_str() });
+            error!("invalid settings ignored", kv: { err = text.as_str() });
             return;
         }
     };
-    info!("settings read again");
+    info!("settings reloaded");
     if settings.bounds != gateway.bounds.get() {
         gateway.set_bounds(settings.bounds);
     }
     let needs_restart = Settings { bounds: gateway.settings.bounds, ..settings };
     if needs_restart != gateway.settings {
-        warn!("settings changed: names and addresses are in force after a restart");
+        warn!("settings changed: names and addresses take effect after a restart");
     }
 }
 
-/// Ends in order: what runs is finished, within the time before SIGKILL. A call that is left then gets
-/// a final answer: with its connection closed its caller couldn't tell that it may have run.
+/// Shuts down gracefully: running calls are finished, within the time before SIGKILL. A call that is left then gets a
+/// final answer: if its connection were just closed, its caller couldn't tell that it may have run.
 async fn leave(gateway: &Rc<Gateway>) {
     let began = Instant::now();
     let in_flight = gateway.in_flight.get();
@@ -283,19 +284,19 @@
     });
 }
 
-/// Lets requests that have no answer yet get their final one. A fixed pause would not do: this function is
-/// polled before the requests' own tasks, and a late process might end with none of them polled.
+/// Waits until requests without an answer have got their final one. A fixed pause isn't enough: this function is polled
+/// before the requests' own tasks, and a late process might end with none of them polled.
 async fn write_last_answers(gateway: &Gateway) {
     let until = Instant::now() + LAST_ANSWERS_MOST;
     while gateway.unanswered.get() > 0 && Instant::now() < until {
         sleep(LAST_ANSWERS_TICK).await;
     }
-    // The last of them is written as its connection is polled next.
+    // The last one is written when its connection is polled next.
     sleep(LAST_ANSWERS_TICK).await;
 }
 
-/// Whether nothing is left to answer. An answer counts until it is written: its request has ended by
-/// then, and a caller that reads slowly would lose the rest.
+/// Returns whether nothing is left to answer. An answer counts until it is written: its request may have ended before,
+/// and a caller that reads slowly would lose the rest.
 fn is_done(gateway: &Gateway) -> bool {
     let is_closing = *gateway.phase.borrow() >= Phase::Closing;
     is_closing && gateway.in_flight.get() == 0 && gateway.answering.get() == 0
