--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! The gateway: takes callers' requests and sends each over a path of engines, or to a plain
-//! service, that runs it.
+//! The gateway: accepts callers' requests and routes each one to a path of engines or to an endpoint of a
+//! plain service.
 //!
-//! One thread runs all of it: a process has a fifth of a core, and threads would only take turns.
-//! Modules are laid out by life span: [`request`], [`connection`] and [`process`].
+//! Everything runs on one thread: a process gets a fifth of a core, so more threads would only compete for
+//! it. Modules are grouped by the lifetime of their state: [`request`], [`connection`] and [`process`].
 
 mod connection;
 mod process;
--- a/crates/gateway/src/process/counters.rs
+++ b/crates/gateway/src/process/counters.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms, and their page for the metrics address.
+//! Counters and latency histograms, and the metrics page that shows them.
 
 use hdrhistogram::Histogram;
 use std::cell::{Cell, RefCell};
@@ -7,7 +7,7 @@
 
 macro_rules! counts {
     ($($(#[doc = $doc:literal])+ $name:ident => $text:literal,)*) => {
-        /// What a gateway counts. The texts are the names on the metrics page.
+        /// Counters of a gateway. The texts are their names on the metrics page.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub(crate) enum Count { $($(#[doc = $doc])+ $name,)* }
 
@@ -22,83 +22,83 @@
 }
 
 counts! {
-    /// Requests read.
+    /// Requests received.
     Requests => "requests",
     /// Requests answered with an endpoint's whole answer.
     Answered => "answered",
     /// Requests refused as not run.
     NotRun => "not_run",
-    /// Requests given up that may have run.
+    /// Requests abandoned that may have run.
     Unknown => "unknown",
-    /// Requests whose time was over.
+    /// Requests that timed out.
     TimedOut => "timed_out",
     /// Answers cut off after their head was sent.
     Cut => "cut",
-    /// Requests refused as they may need longer than this gateway, which was told to end, has left.
+    /// Requests refused because they may take longer than this gateway has left before it ends.
     RefusedLeaving => "refused_leaving",
-    /// Requests cut by this gateway's own end.
+    /// Requests cut off by the end of this gateway.
     CutLeaving => "cut_leaving",
-    /// Callers that went away before their answer was whole.
+    /// Callers that disconnected before their answer was complete.
     CallersGone => "callers_gone",
     /// Requests that no route or key allows.
     NotAllowed => "not_allowed",
-    /// Requests whose head or body can't be used.
+    /// Requests with an invalid head or body.
     BadRequests => "bad_requests",
-    /// Sends beyond the first of a request.
+    /// Sends of a request after the first.
     Repeats => "repeats",
     /// Sends that the retry budget refused.
     BudgetRefusals => "budget_refusals",
-    /// Streams that went on over another path.
+    /// Streams that continued over another path after they lost their run.
     Resumed => "resumed",
     /// Streams that their first engine moved to another path.
     Repathed => "repathed",
     /// Runs of streams that ended with their engine's connection.
     RunsBroken => "runs_broken",
-    /// Runs of streams that were doubted, as an engine of their path was taken to be dead.
+    /// Runs of streams that were suspected because an engine of their path was considered dead.
     RunsSuspected => "runs_suspected",
-    /// Runs of streams that were doubted, as no event came.
+    /// Runs of streams that were suspected because no event arrived.
     RunsSilent => "runs_silent",
-    /// Failovers that were withdrawn, as the run in doubt went on.
+    /// Failovers that were withdrawn because the suspected run continued.
     FailoversWithdrawn => "failovers_withdrawn",
-    /// Suspected endpoints that gave a sign of life while the suspicion held.
+    /// Suspected endpoints that showed a sign of life during the suspicion.
     SuspicionsRefuted => "suspicions_refuted",
     /// Attempts that an endpoint refused as not run.
     AttemptsNotRun => "attempts_not_run",
-    /// Attempts that brought no answer.
+    /// Attempts that got no answer.
     AttemptsFailed => "attempts_failed",
     /// Connections opened to endpoints.
     EndpointConnections => "endpoint_connections",
-    /// Answers dropped as they belong to another request.
+    /// Answers dropped because they belong to another request.
     CrossedAnswers => "crossed_answers",
     /// Calls to the platform's store.
     StoreCalls => "store_calls",
     /// Calls to the store that failed.
     StoreFailures => "store_failures",
-    /// Watches of the store that were given up, as they may have waited in vain.
+    /// Watches of the store that were abandoned because they might no longer deliver updates.
     WatchesDoubted => "watches_doubted",
-    /// Eras of the store that began: it came back from an older copy of itself.
+    /// Eras of the store that began, each with a restore from an older copy of its data.
     StoreEras => "store_eras",
-    /// Lists of the store that were made anew as an era began.
+    /// Lists from the store repeated because an era began.
     EraLists => "era_lists",
-    /// Objects of this gateway that it wrote again as an era began.
+    /// Objects of this gateway written again because an era began.
     ObjectsRewritten => "objects_rewritten",
-    /// Orders given to engines.
+    /// Orders sent to engines.
     Orders => "orders",
-    /// Orders that engines refused, or that brought no answer.
+    /// Orders that engines refused, or that got no answer.
     OrderFailures => "order_failures",
-    /// Incarnations of endpoints that ended as another one began.
+    /// Incarnations of endpoints that ended because a later one began.
     LivesEnded => "lives_ended",
-    /// Entries and answers of incarnations that were over.
+    /// Entries and answers of incarnations that had already ended.
     NewsLate => "news_late",
-    /// Reports without a start of engines whose entry tells one.
+    /// Reports without a start time, of engines whose entry has one.
     ReportsWithoutStart => "reports_without_start",
-    /// Reports asked of engines.
+    /// Reports requested from engines.
     Reports => "reports",
-    /// Questions without an answer that this process sent or ended too late to be evidence.
+    /// Queries without an answer that aren't evidence, because this process sent or ended them too late.
     QuestionsHeldUp => "questions_held_up",
     /// Messages from other gateways.
     PeerMessages => "peer_messages",
-    /// Messages from other gateways that can't be read.
+    /// Messages from other gateways that can't be decoded.
     PeerMessagesBad => "peer_messages_bad",
     /// Entries of endpoints that can't be read at all.
     EntriesUnreadable => "entries_unreadable",
@@ -106,21 +106,21 @@
     EntriesIncomplete => "entries_incomplete",
     /// Entries of endpoints with a field of another type or value.
     EntriesMalformed => "entries_malformed",
-    /// Entries of endpoints that don't tell their start where others do.
+    /// Entries of endpoints without a start time where others have one.
     EntriesWithoutStart => "entries_without_start",
-    /// Objects in the store of which not even the name can be read.
+    /// Objects in the store whose name can't be read.
     NamelessObjects => "nameless_objects",
-    /// Registrations of gateways that can't be used.
+    /// Invalid registrations of gateways.
     RegistrationsRefused => "registrations_refused",
-    /// Objects of the lead that can't be used.
+    /// Invalid objects of the lead.
     LeadRecordsRefused => "lead_records_refused",
-    /// Configurations that can't be used.
+    /// Invalid configurations.
     ConfigurationsRefused => "configurations_refused",
-    /// Connections refused as there were too many.
+    /// Connections refused because too many were open.
     ConnectionsRefused => "connections_refused",
 }
 
-/// Longest latency that a histogram tells apart, in microseconds.
+/// Longest latency that a histogram records, in microseconds; longer ones count as this.
 const MOST_US: u64 = 60_000_000;
 
 /// A histogram of latencies.
@@ -134,7 +134,7 @@
         Latency { us: RefCell::new(us) }
     }
 
-    /// Takes one latency.
+    /// Records one latency.
     pub(crate) fn record(&self, latency: Duration) {
         let us = (latency.as_micros() as u64).clamp(1, MOST_US);
         self.us.borrow_mut().saturating_record(us);
@@ -153,20 +153,20 @@
 /// Counters and latency histograms of a gateway.
 pub(crate) struct Counters {
     counts: Vec<Cell<u64>>,
-    /// From a caller's head to the first byte of its answer.
+    /// Time from a request's head to the first byte of its answer.
     pub(crate) first_byte: Latency,
-    /// From a caller's head to the end of its answer.
+    /// Time from a request's head to the end of its answer.
     pub(crate) whole_answer: Latency,
-    /// From a stalled or broken stream's last event to the next one.
+    /// Time from the last event of a stalled or broken stream to the next one.
     pub(crate) mend: Latency,
-    /// Round trips to the store, watches aside.
+    /// Round trip times of calls to the store, except watches.
     pub(crate) store_call: Latency,
-    /// By how much a timer of the event loop was late.
+    /// Lag of the event loop: how late its timers fire.
     pub(crate) loop_lag: Latency,
 }
 
 impl Counters {
-    /// Nothing counted yet.
+    /// Returns counters at zero and empty histograms.
     pub(crate) fn new() -> Counters {
         Counters {
             counts: Count::ALL.iter().map(|_| Cell::new(0)).collect(),
@@ -178,18 +178,18 @@
         }
     }
 
-    /// Counts one.
+    /// Increments a counter.
     pub(crate) fn add(&self, count: Count) {
         let cell = &self.counts[count as usize];
         cell.set(cell.get() + 1);
     }
 
-    /// How many were counted.
+    /// Returns the value of a counter.
     pub(crate) fn get(&self, count: Count) -> u64 {
         self.counts[count as usize].get()
     }
 
-    /// The metrics page, as text.
+    /// Formats the metrics page.
     pub(crate) fn page(&self, gauges: &[(&str, f64)]) -> String {
         let mut page = String::with_capacity(4_096);
         for count in Count::ALL {
--- a/crates/gateway/src/process/dump.rs
+++ b/crates/gateway/src/process/dump.rs
@@ -1,4 +1,4 @@
-//! The state of a gateway on request, as JSON.
+//! Dump of a gateway's state as JSON.
 
 use crate::process::{Gateway, Phase};
 use serde::Serialize;
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-/// The most elements of each list: more than the largest deployment has endpoints.
+/// Maximum number of elements in each list: more than the largest deployment has endpoints.
 const MOST_ELEMENTS: usize = 1_024;
 
 /// The state of a gateway. Ages are in ms.
@@ -20,22 +20,22 @@
     instance: String,
     phase: &'static str,
     config_version: u64,
-    /// The newest era of the store that was heard of, and the one in which the endpoints are known.
+    /// The newest known era of the store, and the era of the endpoint list.
     store_era: StoreEra,
     endpoints_era: StoreEra,
     endpoints_at: ChangeCount,
-    /// How long ago the store last told all that it had.
+    /// Age of the last data from the store that was confirmed complete.
     configuration_heard_ms: Option<u64>,
     endpoints_heard_ms: Option<u64>,
     lead: Option<LeadDump>,
-    /// How many gateways share the retry budget, this one included.
+    /// Number of gateways that share the retry budget, this one included.
     budget_gateways: usize,
     gateways: Vec<GatewayDump>,
     endpoints: Vec<EndpointDump>,
     refused_by_reason: BTreeMap<FaultKind, usize>,
     refused_entries: Vec<RefusedDump>,
     paths: Vec<PathDump>,
-    /// Elements that the lists leave out.
+    /// Number of elements omitted from the lists.
     left_out: usize,
 }
 
@@ -87,11 +87,11 @@
     service: String,
     data_centre: String,
     engines: Vec<String>,
-    /// Tokens that it has room for, as a whole.
+    /// Total capacity in tokens.
     room: f64,
     /// Tokens that streams of this gateway reserve.
     tokens: f64,
-    /// Streams of this gateway.
+    /// Number of streams of this gateway.
     streams: u32,
     is_superseded: bool,
     is_retiring: bool,
@@ -99,7 +99,7 @@
 }
 
 impl Dump {
-    /// The state of a gateway now.
+    /// Returns the state of a gateway now.
     pub(crate) fn of(gateway: &Gateway, now: Instant) -> Dump {
         let knowledge = gateway.knowledge.borrow();
         let endpoints = knowledge.known_endpoints().map(|known| endpoint(known, now));
--- a/crates/gateway/src/process/lag.rs
+++ b/crates/gateway/src/process/lag.rs
@@ -1,4 +1,4 @@
-//! Measures how late the event loop runs.
+//! Measures the lag of the event loop.
 
 use crate::process::Gateway;
 use spdlog::warn;
@@ -6,15 +6,14 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// How often the lag is measured: as often as paths are watched, so that the wake-ups mostly coincide. A
-/// shorter pause may go unseen.
+/// Interval of measurements: that of the path checks, so that most wake-ups coincide. Shorter pauses may be missed.
 const MEASURE_INTERVAL: Duration = Duration::from_millis(15);
-/// A pause of this length is logged as it ends.
+/// Minimum length of pauses that are logged.
 const LOGGED_PAUSE: Duration = Duration::from_millis(100);
-/// The metrics page shows the longest lag of this time.
+/// Time window of the longest lag on the metrics page.
 const RECENT: Duration = Duration::from_secs(60);
 
-/// Measures the lag of the event loop, for ever.
+/// Measures the lag of the event loop, indefinitely.
 pub(crate) async fn measure_lag(gateway: Rc<Gateway>) {
     loop {
         let now = Instant::now();
@@ -30,12 +29,12 @@
 }
 
 impl Gateway {
-    /// For how long the event loop may have been paused since `from`.
+    /// Returns for how long the event loop may have been paused in total since `from`.
     pub(crate) fn paused_since(&self, from: Instant) -> Duration {
         self.pauses.borrow().total_since(from.into_std(), Instant::now().into_std())
     }
 
-    /// The longest lag of the event loop of late.
+    /// Returns the longest lag of the event loop in the last minute.
     pub(crate) fn recent_longest_pause(&self) -> Duration {
         let now = Instant::now();
         let from = now.checked_sub(RECENT).unwrap_or(self.began);
--- a/crates/gateway/src/process/listeners.rs
+++ b/crates/gateway/src/process/listeners.rs
@@ -1,5 +1,4 @@
-//! The listeners besides the callers': readiness, metrics, the state on request, and handovers to other
-//! gateways.
+//! Internal listeners: readiness, metrics, the state dump, and handovers to other gateways.
 
 use crate::process::{Dump, Gateway, HANDOVER_PATH};
 use bytes::Bytes;
@@ -20,16 +19,16 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep};
 
-/// Pause after a failed accept, as when the process has too many open files.
+/// Delay after a failed accept, for instance with too many open files.
 pub(crate) const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(20);
-/// Where readiness is asked for.
+/// Path of the readiness check.
 const READINESS_PATH: &str = "/v1/readiness";
-/// Where metrics are read.
+/// Path of the metrics page.
 const METRICS_PATH: &str = "/metrics";
-/// Where the state is read.
+/// Path of the state dump.
 const DUMP_PATH: &str = "/dump";
 
-/// Answers readiness, metrics, the state and handovers, for ever.
+/// Serves readiness, metrics, the state dump and handovers, indefinitely.
 pub(crate) async fn serve_side_pages(gateway: Rc<Gateway>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -38,12 +37,12 @@
                 let service = service_fn(move |req| page(Rc::clone(&gateway), req));
                 let connection =
                     http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-                // A broken one is its asker's matter.
+                // Errors on the connection are left to the client.
                 tokio::task::spawn_local(async { drop(connection.await) });
             }
             Err(err) => {
                 let text = err.to_string();
-                warn!("connection to a side page not accepted", kv: { err = text.as_str() });
+                warn!("failed to accept an internal connection", kv: { err = text.as_str() });
                 sleep(ACCEPT_ERROR_PAUSE).await;
             }
         }
@@ -69,7 +68,7 @@
     Ok(answer)
 }
 
-/// What the asker knows: its configuration, and the revision that it knows the endpoints up to.
+/// Parses the requester's configuration version and the revision up to which it knows the endpoints.
 fn read_known(text: &str) -> Option<(ConfigVersion, Revision)> {
     let (version, at) = text.split_once('/')?;
     let (era, count) = at.split_once('/')?;
@@ -77,7 +76,7 @@
     Some((version.parse().ok()?, at))
 }
 
-/// What this gateway knows that the asker doesn't.
+/// Returns what this gateway has and the requester lacks.
 fn handover(gateway: &Gateway, version: ConfigVersion, at: Revision) -> (StatusCode, Bytes) {
     json(&gateway.knowledge.borrow().handover(version, at, Instant::now().into_std()))
 }
@@ -95,7 +94,7 @@
     let version = knowledge.config_version() as f64;
     let endpoints = knowledge.endpoints().count() as f64;
     let now = Instant::now();
-    // Not a number before the store was heard.
+    // NaN before the first data from the store.
     let age = |kind| gateway.store_heard.age_ms(kind, now).map_or(f64::NAN, |ms| ms as f64);
     gateway.counters.page(&[
         ("in_flight", in_flight),
--- a/crates/gateway/src/process/log.rs
+++ b/crates/gateway/src/process/log.rs
@@ -1,5 +1,5 @@
-//! Structured log lines on standard output, through a bounded buffer that never blocks and keeps
-//! room for failures.
+//! Structured log lines on standard output, through a bounded buffer that never blocks and reserves capacity for
+//! failures.
 
 use spdlog::formatter::JsonFormatter;
 use spdlog::sink::{SinkPropAccess, WriteSink};
@@ -10,40 +10,40 @@
 use std::thread;
 use std::time::Duration;
 
-/// Bytes of lines that wait for the writer: about 2,000 lines, a minute of a busy gateway.
+/// Size of the buffer for the writer thread: about 2,000 lines, a minute of a busy gateway.
 pub const LOG_BUFFER_BYTES: usize = 512 << 10;
-/// Bytes of it that only failures may take: some 500 lines, so that a reader which stalls while
-/// all goes well still gets the first failures whole.
+/// Bytes of the buffer reserved for failures: some 500 lines, so that the first failures aren't lost after a stalled
+/// reader let other lines fill the rest.
 const KEPT_FOR_FAILURES_BYTES: usize = 128 << 10;
-/// How often lines are written: at 5 a second the wake-ups cost less than the lines.
+/// Interval of writes: at 5 per second the wake-ups cost less than the lines.
 const WRITE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Lines that were dropped since the start, as the buffer was full.
+/// Number of lines dropped since the start because the buffer was full.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
-/// Those of them that told of a failure.
+/// Number of dropped lines that reported a failure.
 static FAILURES_DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Lines dropped since the start.
+/// Returns the number of lines dropped since the start.
 pub(crate) fn dropped_lines() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// Lines on failures dropped since the start.
+/// Returns the number of dropped lines that reported a failure.
 pub(crate) fn dropped_failures() -> u64 {
     FAILURES_DROPPED.load(Ordering::Relaxed)
 }
 
-/// Lines of one sort, as the logger's sink for them takes them. Both sorts share a buffer with the
-/// thread that writes them, in the order of their coming.
+/// Buffer writer for the logger's sink of one kind of lines. Both kinds share the buffer, in the order of their
+/// arrival, with the thread that writes it out.
 #[derive(Clone)]
 struct Lines {
     buf: Arc<Mutex<Vec<u8>>>,
-    /// Lines on failures, which may fill the buffer to its end.
+    /// Whether these are lines on failures, which may fill the whole buffer.
     are_failures: bool,
 }
 
 impl Write for Lines {
-    /// Takes a line whole or drops it.
+    /// Buffers a whole line or drops it.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut buf = self.buf.lock().expect("no panic holds this lock");
         if buf.len() + line.len() > self.most_bytes() {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The logger's sink for these lines.
+    /// Returns the logger's sink for these lines.
     fn sink(self) -> Arc<WriteSink<Lines>> {
         let levels = if self.are_failures {
             LevelFilter::MoreSevereEqual(Level::Warn)
@@ -87,8 +87,8 @@
     }
 }
 
-/// Writes JSON lines to standard output from a thread of its own. The returned guard writes what
-/// is left when it is dropped.
+/// Sets up the logger, which writes JSON lines to standard output from a thread of its own. The returned guard writes
+/// the remaining lines when it is dropped.
 pub fn set_up_log() -> LogGuard {
     let buf = Arc::default();
     let mut logger = Logger::builder();
@@ -106,7 +106,7 @@
     LogGuard { buf }
 }
 
-/// Writes what is left of the log when it is dropped.
+/// Writes the remaining log lines when it is dropped.
 pub struct LogGuard {
     buf: Arc<Mutex<Vec<u8>>>,
 }
@@ -117,7 +117,7 @@
     }
 }
 
-/// Only this may wait for the reader of standard output; a failed write costs its lines.
+/// Writes the buffered lines. Only this function may block on standard output; a failed write loses its lines.
 fn write_out(buf: &Mutex<Vec<u8>>) {
     let lines = std::mem::take(&mut *buf.lock().expect("no panic holds this lock"));
     if !lines.is_empty() && io::stdout().write_all(&lines).is_err() {
--- a/crates/gateway/src/process/mod.rs
+++ b/crates/gateway/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a process.
+//! State and tasks that last as long as the process.
 
 mod counters;
 mod dump;
--- a/crates/gateway/src/process/paths/live_path.rs
+++ b/crates/gateway/src/process/paths/live_path.rs
@@ -1,4 +1,4 @@
-//! A path in use, with what this gateway's streams do on it.
+//! A path in use, with the state of this gateway's streams on it.
 
 use sorrellock_routing::process::{Departure, FailureEvidence, PathHealth, PipelinePath};
 use std::cell::Cell;
@@ -6,61 +6,61 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// With few streams under way and no event on any for so long, the engines of a path are asked
-/// whether they live. All streams of a path get an event with each pass of its engines, every 55 ms
-/// or so, and a pass that reads prompts takes up to twice as long.
+/// Time without an event on any stream after which the engines of a path with few streams are probed. All streams
+/// of a path get an event with each pass of its engines, about every 55 ms, and a pass that reads prompts takes up
+/// to twice as long.
 const PATH_QUIET: Duration = Duration::from_millis(85);
-/// The same with some streams, which rarely all just begin or end.
+/// The same for a path with [`SOME_STREAMS`]: they rarely all begin or end at the same moment.
 const SOME_STREAMS_QUIET: Duration = Duration::from_millis(75);
-/// Silence from which on an event is late; the lead's word then counts.
+/// Time without an event after which one counts as late, so that a path breaks if the lead considers an engine dead.
 const EVENT_MISSED: Duration = Duration::from_millis(65);
-/// With few streams under way and no event on any for so long, a path gets nothing new: three times
-/// the longest pause that is on time. One that reads many prompts is quiet for half of that.
+/// Time without an event on any stream after which a path with few streams gets no new requests: three times the
+/// longest regular pause. A path that reads many prompts is silent for half of this.
 const PATH_SILENCE: Duration = Duration::from_millis(600);
-/// The same with some streams.
+/// The same for a path with [`SOME_STREAMS`].
 const SOME_STREAMS_SILENCE: Duration = Duration::from_millis(300);
-/// From so many streams on that holds.
+/// Number of streams from which the shorter limits apply.
 const SOME_STREAMS: u32 = 4;
 
-/// What becomes of an engine.
+/// Availability of an engine for running and new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EngineFate {
-    /// It stays.
+    /// Accepts new work.
     Stays,
-    /// It finishes what it runs for a few seconds, and takes nothing new.
+    /// Finishes its running work for a few seconds, and accepts nothing new.
     Leaves,
-    /// What it runs is lost.
+    /// Its running work is lost.
     Dead,
 }
 
-/// A path with what this gateway's streams do on it.
+/// A path in use, with the state of this gateway's streams on it.
 pub(crate) struct LivePath {
-    /// Its engines.
+    /// The engines and their layers.
     pub(crate) path: PipelinePath,
-    /// Share of its layers that another engine of its data centre holds too.
+    /// Share of its layers that another engine of its data centre also holds.
     pub(crate) redundancy: Cell<f64>,
-    /// The log told of it.
+    /// Whether it has been logged.
     pub(crate) is_told: Cell<bool>,
-    /// Requests that its first engine takes at once from all gateways.
+    /// Number of concurrent requests that its first engine accepts from all gateways.
     pub(crate) slots: u32,
-    /// This gateway's streams under way.
+    /// Number of this gateway's running streams.
     pub(crate) streams: Cell<u32>,
-    /// Tokens reserved by them.
+    /// Number of tokens that they reserve.
     pub(crate) tokens: Cell<f64>,
-    /// When a stream last got an event, or the first of them began.
+    /// When a stream last got an event, or the first one began.
     pub(crate) last_event: Cell<Instant>,
-    /// Gets nothing new until then.
+    /// It gets no new requests until then.
     pub(crate) avoid_until: Cell<Option<Instant>>,
-    /// When its engines were last asked whether they live.
+    /// When its engines were last probed.
     pub(crate) checked: Cell<Option<Instant>>,
-    /// The same of its first engine alone.
+    /// When its first engine alone was last probed.
     pub(crate) first_checked: Cell<Option<Instant>>,
-    /// Better paths are in use: it takes nothing new.
+    /// Whether better paths are in use, so that it gets no new requests.
     pub(crate) is_superseded: Cell<bool>,
-    /// An engine of it leaves: its streams should go on over another path before it exits.
+    /// Set while one of its engines is leaving: its streams should continue over another path before that exits.
     departure: Cell<Option<Departure>>,
     health: Cell<PathHealth>,
-    /// Wakes its streams when it breaks, and when an event shows that it works.
+    /// Wakes its streams when it breaks, and when an event shows that it works again.
     changed: Notify,
 }
 
@@ -84,19 +84,19 @@
         }
     }
 
-    /// Whether all its streams have been silent for so long that its engines should be asked.
-    /// They are for `later` longer: other gateways ask first.
+    /// Returns whether no stream got an event for so long that its engines should be probed. `later` extends the
+    /// limit, so that other gateways probe first.
     pub(crate) fn is_quiet(&self, now: Instant, later: Duration) -> bool {
         let limit = self.limit(SOME_STREAMS_QUIET, PATH_QUIET) + later;
         self.streams.get() > 0 && now - self.last_event.get() > limit
     }
 
-    /// Whether all its streams miss the event that is due.
+    /// Returns whether all its streams miss the event that is due.
     pub(crate) fn misses_events(&self, now: Instant) -> bool {
         self.streams.get() > 0 && now - self.last_event.get() > EVENT_MISSED
     }
 
-    /// Whether all its streams have been silent for so long that it gets nothing new.
+    /// Returns whether no stream got an event for so long that it should get no new requests.
     pub(crate) fn is_silent(&self, now: Instant) -> bool {
         let limit = self.limit(SOME_STREAMS_SILENCE, PATH_SILENCE);
         self.streams.get() > 0 && now - self.last_event.get() > limit
@@ -106,7 +106,7 @@
         if self.streams.get() >= SOME_STREAMS { with_some } else { with_few }
     }
 
-    /// A stream that reserves so many tokens begins on it.
+    /// Adds a stream that reserves `tokens`.
     pub(crate) fn add_stream(&self, tokens: f64, now: Instant) {
         if self.streams.get() == 0 {
             self.last_event.set(now);
@@ -115,54 +115,55 @@
         self.tokens.set(self.tokens.get() + tokens);
     }
 
-    /// Such a stream ends, or goes on over another path.
+    /// Removes such a stream, which ended or continues over another path.
     pub(crate) fn remove_stream(&self, tokens: f64) {
         self.streams.set(self.streams.get() - 1);
         self.tokens.set(self.tokens.get() - tokens);
     }
 
-    /// Gives it nothing new until `until`.
+    /// Keeps new requests off it until `until`.
     pub(crate) fn avoid(&self, until: Instant) {
         let until = self.avoid_until.get().map_or(until, |before| before.max(until));
         self.avoid_until.set(Some(until));
     }
 
-    /// Takes whether an engine of it leaves, and for how long such an engine serves.
+    /// Sets whether one of its engines is leaving. Such an engine finishes running work for `serves_for`.
     pub(crate) fn set_leaving(&self, is_leaving: bool, serves_for: Duration, now: Instant) {
         let begun = self.departure.get();
         let departure = begun.unwrap_or_else(|| Departure::new(now.into_std(), serves_for));
         self.departure.set(is_leaving.then_some(departure));
     }
 
-    /// An engine of it that leaves, if there is one.
+    /// Returns the departure of its leaving engine, if there is one.
     pub(crate) fn departure(&self) -> Option<Departure> {
         self.departure.get()
     }
 
+    /// Returns whether it gets no new requests, silence aside.
     pub(crate) fn is_avoided(&self, now: Instant) -> bool {
         self.is_superseded.get()
             || self.is_broken()
             || self.avoid_until.get().is_some_and(|until| until > now)
     }
 
-    /// Whether its streams count against the capacity of its engines. On a broken path their capacity is needed for the
-    /// runs that replace them.
+    /// Returns whether its streams count against the capacity of its engines. On a broken path that capacity is needed
+    /// for the runs that replace them.
     pub(crate) fn takes_capacity(&self) -> bool {
         self.streams.get() > 0 && !self.is_broken()
     }
 
-    /// An engine of it is judged to be dead, and its streams miss their events.
+    /// Returns whether it is broken: one of its engines is considered dead, and its streams miss their events.
     pub(crate) fn is_broken(&self) -> bool {
         self.health.get().is_broken()
     }
 
-    /// Takes whether an engine of it is judged to be dead.
+    /// Sets whether one of its engines is considered dead.
     pub(crate) fn judge(&self, is_dead: bool, now: Instant) {
         self.update(|health| health.judge(is_dead));
         self.break_if_suspected(now);
     }
 
-    /// Breaks it if an engine of it is judged to be dead and no stream gets events.
+    /// Breaks it if one of its engines is considered dead and no stream gets events.
     pub(crate) fn break_if_suspected(&self, now: Instant) {
         let is_quiet = self.streams.get() == 0 || self.misses_events(now);
         if self.update(|health| health.break_if_suspected(is_quiet)) {
@@ -170,14 +171,14 @@
         }
     }
 
-    /// Its streams look for other paths. They keep their runs until another one has begun.
+    /// Breaks it, so that its streams look for other paths. They keep their runs until another run has begun.
     pub(crate) fn break_up(&self) {
         if self.update(PathHealth::break_up) {
             self.changed.notify_waiters();
         }
     }
 
-    /// A stream got an event: all engines of the path live. Whether it was broken.
+    /// Records an event on a stream, which shows that all its engines are alive. Returns whether it was broken.
     pub(crate) fn on_event(&self, now: Instant) -> bool {
         self.last_event.set(now);
         let was_broken = self.update(|health| health.on_event(now.into_std()));
@@ -187,7 +188,7 @@
         was_broken
     }
 
-    /// Whether it breaks if another gateway reports that an engine of it is dead.
+    /// Returns whether another gateway's report that one of its engines failed breaks it.
     pub(crate) fn breaks_by_report(&self, evidence: FailureEvidence, now: Instant) -> bool {
         let is_idle = self.streams.get() > 0 && now - self.last_event.get() > evidence.min_idle();
         let trusts = self.health.get().trusts_reports(now.into_std());
@@ -201,12 +202,12 @@
         res
     }
 
-    /// Ends when it is broken.
+    /// Waits until it is broken.
     pub(crate) async fn broken(&self) {
         self.wait_until(true).await;
     }
 
-    /// Ends when it is not broken.
+    /// Waits until it is not broken.
     pub(crate) async fn restored(&self) {
         self.wait_until(false).await;
     }
--- a/crates/gateway/src/process/paths/mod.rs
+++ b/crates/gateway/src/process/paths/mod.rs
@@ -1,4 +1,4 @@
-//! Paths over engines: which there are, what runs on them, and whether they serve.
+//! Paths over engines: their selection, load and health.
 
 mod live_path;
 mod path_book;
--- a/crates/gateway/src/process/paths/path_book.rs
+++ b/crates/gateway/src/process/paths/path_book.rs
@@ -1,4 +1,4 @@
-//! The paths in use, what this gateway's streams take on them, and the choice among them.
+//! The paths in use, the load of this gateway's streams on them, and path selection.
 
 use crate::process::{EngineFate, LivePath, ReportedSuspect};
 use rand::RngExt;
@@ -11,31 +11,31 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Share of a path's room that is given out: the estimates of answers' lengths are often off, and
-/// a full engine preempts streams.
+/// Maximum share of a path's capacity that is reserved: estimates of answer lengths are often off, and a full
+/// engine preempts streams.
 const FILL: f64 = 0.92;
-/// What being in the gateway's own data centre is worth, as a share of room.
+/// Bonus for paths in the gateway's own data centre, as a share of capacity.
 const OWN_DATA_CENTRE_BONUS: f64 = 0.03;
-/// What it counts against a path that no other engine holds its layers, as a share of room: the
-/// death of an engine breaks all its streams, while others go on over another chain.
+/// Penalty for a path whose layers no other engine holds, as a share of capacity: the death of one of its engines
+/// breaks all its streams, while streams of other paths continue over another chain.
 const FRAGILE_PENALTY: f64 = 0.15;
-/// Random part of the choice, as a share of room: gateways that don't see each other's newest
-/// streams shouldn't all choose the same path.
+/// Random part of the score, as a share of capacity: gateways that don't see each other's newest streams
+/// shouldn't all choose the same path.
 const CHOICE_NOISE: f64 = 0.04;
 
-/// What streams take.
+/// Capacity taken by streams.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Load {
-    /// Tokens reserved.
+    /// Number of tokens reserved.
     pub(crate) tokens: f64,
-    /// Streams.
+    /// Number of streams.
     pub(crate) streams: u32,
 }
 
-/// Why there is no path for a request now.
+/// Why no path can take a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NoPlace {
-    /// No engines together hold all layers.
+    /// The available engines don't hold all layers.
     NoPath,
     /// All paths are full.
     Full,
@@ -46,20 +46,20 @@
 pub(crate) struct PathBook {
     paths: HashMap<ServiceName, Vec<Rc<LivePath>>>,
     best: HashMap<ServiceName, BestPaths>,
-    /// What streams of other gateways take, by the first engine of their path.
+    /// Load of other gateways' streams, by the first engine of their path.
     peers: HashMap<Incarnation, Load>,
-    /// KV cache that fits into each engine, in tokens times layers.
+    /// KV cache capacity of each engine, in tokens times layers.
     rooms: HashMap<Incarnation, f64>,
     freed: Rc<Notify>,
 }
 
 impl PathBook {
-    /// Takes what streams of other gateways take, by the first engine of their path.
+    /// Sets the load of other gateways' streams, by the first engine of their path.
     pub(crate) fn set_peer_loads(&mut self, peers: HashMap<Incarnation, Load>) {
         self.peers = peers;
     }
 
-    /// Paths through an engine that break if another gateway reports that it is dead.
+    /// Returns the paths through the reported engine that another gateway's report breaks.
     pub(crate) fn breaking_by_report(
         &self,
         report: &ReportedSuspect,
@@ -70,7 +70,7 @@
         breaking.filter(|live| live.path.uses(&report.incarnation)).cloned().collect()
     }
 
-    /// What this gateway's streams take, by the first engine of their path.
+    /// Returns the load of this gateway's streams, by the first engine of their path.
     pub(crate) fn own_loads(&self) -> HashMap<Incarnation, Load> {
         let mut loads: HashMap<Incarnation, Load> = HashMap::new();
         for live in self.paths.values().flatten().filter(|live| live.takes_capacity()) {
@@ -81,13 +81,13 @@
         loads
     }
 
-    /// Whether any gateway has a stream under way, as far as is known.
+    /// Returns whether any gateway is known to have a running stream.
     pub(crate) fn is_in_use(&self) -> bool {
         let mut own = self.paths.values().flatten();
         own.any(|live| live.streams.get() > 0) || self.peers.values().any(|load| load.streams > 0)
     }
 
-    /// Streams of all gateways that begin at an engine.
+    /// Returns the number of streams of all gateways that begin at an engine.
     fn head_streams(&self, service: &str, head: &Incarnation) -> u32 {
         let begins_there =
             |live: &&Rc<LivePath>| live.takes_capacity() && live.path.first().incarnation == *head;
@@ -96,8 +96,8 @@
         own + self.peers.get(head).map_or(0, |load| load.streams)
     }
 
-    /// KV cache that streams of all gateways take at each engine, in tokens times layers. What
-    /// other gateways' streams take counts for the path in use of their first engine.
+    /// Returns the KV cache that streams of all gateways take at each engine, in tokens times layers. The load of
+    /// other gateways' streams is assigned to the path in use that begins at their first engine.
     fn kv_used(&self, service: &str) -> HashMap<&Incarnation, f64> {
         let mut used: HashMap<&Incarnation, f64> = HashMap::new();
         for live in self.paths(service).iter().filter(|live| !live.is_broken()) {
@@ -112,28 +112,28 @@
         used
     }
 
-    /// Breaks paths with an engine that is judged to be dead, as their streams miss their events.
+    /// Breaks paths with an engine that is considered dead and whose streams miss their events.
     pub(crate) fn break_suspected(&self, now: Instant) {
         self.paths.values().flatten().for_each(|live| live.break_if_suspected(now));
     }
 
-    /// Paths that have been quiet as a whole for so long that their engines should be probed.
+    /// Returns the paths without events on any stream for so long that their engines should be probed.
     pub(crate) fn quiet(&self, now: Instant) -> impl Iterator<Item = &Rc<LivePath>> {
         let all = self.paths.values().flatten();
         all.filter(move |live| !live.is_broken() && live.is_quiet(now, Duration::ZERO))
     }
 
-    /// Wakes when a place is freed or the paths change.
+    /// Returns the signal that capacity was freed or the paths changed.
     pub(crate) fn freed(&self) -> Rc<Notify> {
         Rc::clone(&self.freed)
     }
 
-    /// The paths of a service.
+    /// Returns the paths of a service.
     pub(crate) fn paths(&self, service: &str) -> &[Rc<LivePath>] {
         self.paths.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Works out the paths of a service anew. Returns whether paths changed.
+    /// Recomputes the paths of a service. Returns whether they changed.
     pub(crate) fn rebuild(
         &mut self,
         service: &str,
@@ -171,8 +171,8 @@
         }
         let was_in_use = |live: &&Rc<LivePath>| !live.is_superseded.get();
         is_changed |= fresh.len() != old.iter().filter(was_in_use).count();
-        // Streams on an old path still run, also on a broken one, and orders to go on over it are under way: what holds it besides
-        // the book is one of them.
+        // An old path, even a broken one, is kept while a stream runs on it or an order to continue over it is in
+        // progress: either holds a reference besides this table.
         let keep_watch = old.into_iter().filter(|live| {
             Rc::strong_count(live) > 1 && !fresh.iter().any(|other| Rc::ptr_eq(other, live))
         });
@@ -188,7 +188,7 @@
         is_changed
     }
 
-    /// Forgets the paths of services that are not served any more, unless a stream is under way there.
+    /// Removes the paths of services that are no longer served, unless a stream still runs on them.
     pub(crate) fn forget_services(&mut self, is_served: impl Fn(&str) -> bool) {
         let is_used = |paths: &[Rc<LivePath>]| paths.iter().any(|live| live.streams.get() > 0);
         self.paths.retain(|service, paths| is_served(service) || is_used(paths));
@@ -196,15 +196,15 @@
         self.forget_rooms();
     }
 
-    /// Forgets engines that no path goes through.
+    /// Removes the capacities of engines that are part of no path.
     fn forget_rooms(&mut self) {
         let parts = self.paths.values().flatten().flat_map(|live| &live.path.parts);
         let incarnations: BTreeSet<&Incarnation> = parts.map(|part| &part.incarnation).collect();
         self.rooms.retain(|incarnation, _| incarnations.contains(incarnation));
     }
 
-    /// A path over which a request of another one can go on: its engines take such an order only where the first one runs
-    /// the same layers as before.
+    /// Returns a path over which the requests of path `of` can continue. Engines accept such an order only where the
+    /// first one runs the same layers as before.
     pub(crate) fn successor(
         &mut self,
         service: &str,
@@ -222,7 +222,8 @@
         in_use.or_else(|| self.detour(service, of, now))
     }
 
-    /// A path that is not in use otherwise: the one in use that begins at the same engine divides the layers anew.
+    /// Returns a path with the same first engine that isn't in use for new requests, because the one in use from that
+    /// engine splits the layers differently.
     fn detour(&mut self, service: &str, of: &Rc<LivePath>, now: Instant) -> Option<Rc<LivePath>> {
         let path = self.best.get(service)?.with_first(&of.path)?;
         if path.parts == of.path.parts {
@@ -239,13 +240,13 @@
         Some(live)
     }
 
-    /// Gives paths through an engine nothing new until `until`.
+    /// Excludes paths through an engine from selection until `until`.
     pub(crate) fn avoid_through(&self, service: &str, engine: SocketAddr, until: Instant) {
         let uses = |live: &&Rc<LivePath>| live.path.parts.iter().any(|part| part.addr == engine);
         self.paths(service).iter().filter(uses).for_each(|live| live.avoid(until));
     }
 
-    /// Whether a request could take a path now.
+    /// Returns whether a path can take a request now.
     pub(crate) fn has_place(
         &self,
         service: &str,
@@ -256,7 +257,7 @@
         self.choose(service, tokens, "", may_take, now).is_ok()
     }
 
-    /// Chooses the path with the most room, by share, among those that the request may take.
+    /// Chooses the path with the highest share of free capacity among those that the request may take.
     pub(crate) fn choose(
         &self,
         service: &str,
@@ -290,7 +291,7 @@
         best.map(|(_, live)| Rc::clone(live)).ok_or(none)
     }
 
-    /// What was weighed: each path's state, its room and what is taken of it, for log lines.
+    /// Formats the state, capacity and load of each path for log lines.
     pub(crate) fn describe(&self, service: &str, now: Instant) -> String {
         let used = self.kv_used(service);
         let describe = |live: &Rc<LivePath>| {
@@ -317,7 +318,7 @@
         self.paths(service).iter().map(describe).collect::<Vec<_>>().join("; ")
     }
 
-    /// How full the fullest path in use of a data centre is, as a share of its room.
+    /// Returns the utilization of the fullest path in use of a data centre, as a share of its capacity.
     pub(crate) fn fullest(&self, service: &str, data_centre: &str) -> f64 {
         let used = self.kv_used(service);
         let here = self.paths(service).iter().filter(|live| live.path.data_centre == data_centre);
@@ -325,8 +326,7 @@
         in_use.map(|live| self.fill(live, &used, 0.0)).fold(0.0, f64::max)
     }
 
-    /// Share of its memory for KV cache that is taken at the fullest engine of a path, with so many
-    /// tokens more.
+    /// Returns the share of KV cache taken at the fullest engine of a path, with `tokens` more reserved.
     fn fill(&self, live: &LivePath, used: &HashMap<&Incarnation, f64>, tokens: f64) -> f64 {
         let fill = |part: &PathPart| {
             let taken = used.get(&part.incarnation).copied().unwrap_or_default();
--- a/crates/gateway/src/process/paths/path_check.rs
+++ b/crates/gateway/src/process/paths/path_check.rs
@@ -1,4 +1,4 @@
-//! Finds which engines of a quiet path are dead, by asking each.
+//! Probes the engines of an idle path to find dead ones.
 
 use crate::process::{Count, Gateway, LivePath, Unanswered};
 use sorrellock_http::drain_event_loop;
@@ -10,20 +10,20 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// Time for an engine's report, on a kept connection and once more on a new one: some fifty round
-/// trips inside a region.
+/// Timeout of a request for an engine's report, on a kept connection and once more on a new one: about fifty round
+/// trips within a region.
 const REPORT_LIMIT: Duration = Duration::from_millis(90);
-/// Engines without an answer in one check from which on they are asked once more before any is suspected: a late process
-/// can't judge its peers.
+/// Number of engines without an answer in one check from which they are probed once more before any is suspected:
+/// a process that runs late can't tell whether its peers are at fault.
 const MANY_SILENT: usize = 3;
-/// How often paths are looked at: a broken one is found a tenth of a pause late at most.
+/// Interval at which paths are checked: a broken one is found at most a tenth of a pause late.
 const WATCH_INTERVAL: Duration = Duration::from_millis(15);
-/// After a longer lag, events that came meanwhile are read before paths are judged.
+/// Lag of the event loop above which events that arrived meanwhile are read before paths are evaluated.
 const TRUSTED_LAG: Duration = Duration::from_millis(10);
-/// A path is asked at most this often: each report is priced.
+/// Minimum interval between checks of a path: each report has a cost.
 pub(crate) const CHECK_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Looks for quiet paths and has them checked, for ever.
+/// Finds idle paths and checks them, indefinitely.
 pub(crate) async fn watch_paths(gateway: Rc<Gateway>) {
     loop {
         let due = Instant::now() + WATCH_INTERVAL;
@@ -43,8 +43,8 @@
     }
 }
 
-/// Whether it is this gateway's turn to probe an idle path: others with streams on it may go first, and report
-/// what they find.
+/// Returns whether it is this gateway's turn to probe an idle path: others with streams on it may go first and
+/// report what they find.
 fn is_turn(gateway: &Gateway, live: &LivePath, now: Instant) -> bool {
     let head = &live.path.first().incarnation;
     let data_centre = &live.path.data_centre;
@@ -53,8 +53,8 @@
     live.is_quiet(now, probe_delay(before))
 }
 
-/// Asks each engine of a path for a report, unless that was done just now or the path is known to be broken. Those that
-/// don't answer are suspected, and the lead hears of it.
+/// Requests a report from each engine of a path, unless that was done just now or the path is known to be broken.
+/// Engines that don't answer are suspected and reported to the lead.
 pub(crate) fn check_path(gateway: &Rc<Gateway>, live: &Rc<LivePath>) {
     if live.is_broken() || !is_due(&live.checked) {
         return;
@@ -65,14 +65,14 @@
     live.path.parts.iter().for_each(|part| spawn_check(gateway, live, part, &round));
 }
 
-/// Asks the first engine of a path alone: a connection to it broke, which tells nothing of the others.
+/// Probes only the first engine of a path, after a connection to it broke: that is no evidence about the others.
 pub(crate) fn check_first(gateway: &Rc<Gateway>, live: &Rc<LivePath>) {
     if is_due(&live.first_checked) {
         spawn_check(gateway, live, live.path.first(), &Round::new(1));
     }
 }
 
-/// Notes a check, unless one was made just now.
+/// Records a check, unless one was made just now. Returns whether a check is due.
 fn is_due(checked: &Cell<Option<Instant>>) -> bool {
     let now = Instant::now();
     let is_due = checked.get().is_none_or(|checked| now - checked >= CHECK_INTERVAL);
@@ -82,7 +82,7 @@
     is_due
 }
 
-/// Engines that are asked at the same moment. The last ones to answer tell how late this process is.
+/// Engines that are probed at the same moment. The number of missing answers shows whether this process is late.
 #[derive(Clone)]
 struct Round {
     unanswered: Rc<Cell<usize>>,
@@ -97,7 +97,8 @@
         self.unanswered.set(self.unanswered.get() - 1);
     }
 
-    /// Whether so many engines gave no answer that this process, or its way to them, is likelier to be at fault.
+    /// Returns whether so many engines gave no answer that this process, or the network between, is more likely at
+    /// fault.
     fn is_doubtful(&self) -> bool {
         self.unanswered.get() >= MANY_SILENT
     }
@@ -108,7 +109,7 @@
     tokio::task::spawn_local(check);
 }
 
-/// An engine that doesn't answer breaks the path, which is quiet already.
+/// Probes one engine. If it fails, it is suspected, and the path breaks if it is still idle.
 async fn check_engine(gateway: Rc<Gateway>, live: Rc<LivePath>, part: PathPart, round: Round) {
     let mut res = ask_for_report(&gateway, &part).await;
     if matches!(&res, Err(Unanswered::Failed(err)) if err.silence().is_some())
@@ -125,7 +126,7 @@
                 live.break_up();
             }
         }
-        // Other gateways ask too, and so does the lead.
+        // Other gateways and the lead probe it too.
         Err(Unanswered::Inconclusive) => {}
     }
 }
@@ -134,7 +135,7 @@
     let asked = Instant::now();
     let client = gateway.probe(&part.incarnation, part.addr);
     let report = gateway.ask(&client, REPORT_LIMIT, |limit| read_report(&client, limit)).await?;
-    // An engine that started again breaks all its paths by that.
+    // A restarted engine breaks all its paths.
     gateway.on_answer_of(&part.incarnation, part.addr, report.started, asked);
     Ok(())
 }
--- a/crates/gateway/src/process/paths/path_place.rs
+++ b/crates/gateway/src/process/paths/path_place.rs
@@ -1,4 +1,4 @@
-//! A stream's place on a path.
+//! Reservations of streams on paths.
 
 use crate::process::{LivePath, NoPlace, PathBook};
 use std::cell::RefCell;
@@ -6,7 +6,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A stream's place on a path. Dropping it frees the place.
+/// A stream's reservation on a path. Dropping it frees the capacity.
 pub(crate) struct PathPlace {
     pub(crate) live: Rc<LivePath>,
     tokens: f64,
@@ -14,7 +14,7 @@
 }
 
 impl PathPlace {
-    /// Moves the place to another path with the same first engine.
+    /// Moves the reservation to another path with the same first engine.
     pub(crate) fn move_to(&mut self, live: Rc<LivePath>, now: Instant) {
         self.live.remove_stream(self.tokens);
         live.add_stream(self.tokens, now);
@@ -29,7 +29,7 @@
     }
 }
 
-/// Takes a place on the path with the most room.
+/// Reserves `tokens` on the path with the highest share of free capacity.
 pub(crate) fn take_place(
     book: &Rc<RefCell<PathBook>>,
     service: &str,
--- a/crates/gateway/src/process/paths/path_refresh.rs
+++ b/crates/gateway/src/process/paths/path_refresh.rs
@@ -1,4 +1,4 @@
-//! Works out the paths anew from what is known of the engines.
+//! Recomputes the paths from the known state of the engines.
 
 use crate::process::{EngineFate, Gateway, LivePath};
 use sorrellock_routing::process::knowledge::Knowledge;
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 impl Gateway {
-    /// Works out the paths of all models anew, those of dropped services included while requests of theirs may be under way.
+    /// Recomputes the paths of all models. Includes those of dropped services while requests of theirs may still run.
     pub(crate) fn refresh_paths(&self) {
         let now = Instant::now();
         let leaving_serves_for = self.bounds.get().leave_within;
@@ -33,7 +33,7 @@
                     {
                         EngineFate::Stays
                     }
-                    // It finishes what it runs for a while, also without an entry to use.
+                    // Finishes its running work for a while, even without a usable entry.
                     _ => EngineFate::Leaves,
                 }
             };
@@ -62,7 +62,7 @@
         self.paths.borrow_mut().forget_services(is_served);
     }
 
-    /// The engines that may be part of a path, with the layers that they can run now.
+    /// Returns the engines that may be part of a path, with the layers that they can run now.
     fn holders(
         &self,
         knowledge: &Knowledge,
@@ -81,7 +81,7 @@
                 continue;
             }
             let view = beliefs.engine(&incarnation, now);
-            // An engine that the lead doesn't tell of leaves, or holds nothing yet.
+            // An engine that is missing from the lead's view is leaving, or holds no layers yet.
             let listed = if has_lead { LayerRange::default() } else { endpoint.layers };
             let layers = view.map_or(listed, |view| view.usable);
             let is_dead = view.is_some_and(|view| view.is_dead);
@@ -104,7 +104,7 @@
     }
 }
 
-/// The layers of each data centre that no holder can run, for log lines.
+/// Formats the layers of each data centre that no holder can run, for log lines.
 fn gaps(holders: &[Holder], layers: u32) -> String {
     let data_centres: BTreeSet<&DataCentre> =
         holders.iter().map(|holder| &holder.data_centre).collect();
--- a/crates/gateway/src/process/pool.rs
+++ b/crates/gateway/src/process/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints, kept for later requests.
+//! Pool of idle connections to endpoints.
 
 use crate::process::{Count, Counters};
 use bytes::Bytes;
@@ -15,22 +15,22 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, timeout};
 
-/// Idle connections kept to one endpoint.
+/// Maximum number of idle connections to one endpoint.
 const MAX_IDLE: usize = 64;
-/// Time for a connection to be made: inside a region a round trip takes a millisecond; the first
-/// retry of a lost opening packet comes after a second.
+/// Timeout of a connect: a round trip within a region takes a millisecond, and a lost SYN is first sent again after a
+/// second.
 pub(crate) const CONNECT_LIMIT: Duration = Duration::from_millis(500);
-/// Idle time after which a connection isn't used again, where the endpoint doesn't tell its own.
+/// Idle time after which a connection isn't reused, unless the endpoint announces its own limit.
 const IDLE_LIMIT: Duration = Duration::from_secs(12);
-/// The same for a request that may not be sent twice: an endpoint may drop an idle connection
-/// without notice, and what was sent on it may have run.
+/// The same for a request that may not be sent twice: an endpoint may close an idle connection without notice, and a
+/// request sent on it may have run.
 const IDLE_LIMIT_ONCE: Duration = Duration::from_secs(2);
-/// What is taken off the idle time that an endpoint tells: the way there and its timer's slack.
+/// Margin subtracted from the idle time that an endpoint announces, for network latency and timer inaccuracy.
 const IDLE_MARGIN: Duration = Duration::from_millis(500);
-/// Largest head of an endpoint's answer, in bytes.
+/// Maximum size of an answer's head, in bytes.
 const READ_BUF_BYTES: usize = 16 << 10;
 
-/// A connection to an endpoint. Dropping it closes it at once, which ends what runs there.
+/// A connection to an endpoint. Dropping it closes it at once, which aborts a request that runs over it.
 pub(crate) struct Connection {
     pub(crate) sender: SendRequest<Full<Bytes>>,
     addr: SocketAddr,
@@ -45,14 +45,14 @@
     }
 }
 
-/// Idle connections, by the incarnation of the endpoint: none outlives it.
+/// Idle connections by the incarnation of their endpoint; they are dropped when it ends.
 #[derive(Default)]
 pub(crate) struct Pool {
     idle: HashMap<Incarnation, Vec<Connection>>,
 }
 
 impl Pool {
-    /// Takes the connection that was used last, if one is still good.
+    /// Takes the most recently used connection that is still usable.
     pub(crate) fn take(
         &mut self,
         incarnation: &Incarnation,
@@ -71,7 +71,7 @@
         None
     }
 
-    /// Keeps a connection whose answer came whole.
+    /// Keeps a connection after a complete answer.
     pub(crate) fn keep(
         &mut self,
         incarnation: Incarnation,
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Drops the connections to an endpoint that nothing came on since `since`: one of that age brought no answer, and
-    /// those that are open may have gone silent together.
+    /// Drops the connections to an endpoint that have been idle since `since` or longer: one of that age got no
+    /// answer, and all of that age may have gone silent together.
     pub(crate) fn give_up(&mut self, incarnation: &Incarnation, since: Instant) {
         if let Some(idle) = self.idle.get_mut(incarnation) {
             idle.retain(|connection| connection.idle_since > since);
@@ -104,7 +104,7 @@
         self.idle.remove(incarnation);
     }
 
-    /// Drops connections that are too old, and those to incarnations that `is_current` doesn't know.
+    /// Drops connections that were idle for too long, and those to incarnations that aren't current.
     pub(crate) fn sweep(&mut self, now: Instant, is_current: impl Fn(&Incarnation) -> bool) {
         self.idle.retain(|incarnation, idle| {
             idle.retain(|connection| now - connection.idle_since < connection.idle_limit);
@@ -123,7 +123,7 @@
     let hands = builder.handshake(TokioIo::new(stream)).await;
     let (sender, connection) = hands.map_err(io::Error::other)?;
     let driver = tokio::task::spawn_local(async move {
-        // How it ended shows at the request.
+        // Errors surface at the request.
         let _ = connection.await;
     });
     let idle_since = Instant::now();
--- a/crates/gateway/src/process/questions.rs
+++ b/crates/gateway/src/process/questions.rs
@@ -1,4 +1,4 @@
-//! Questions to endpoints, asked again where this process itself was too late to judge their silence.
+//! Queries to endpoints, repeated where this process ran too late to tell whether an endpoint is silent.
 
 use crate::process::{Count, Gateway};
 use sorrellock_platform::{CallError, Client};
@@ -6,19 +6,19 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often an endpoint is asked before it is left to other gateways, which ask too, as does the lead.
+/// Maximum number of queries before the endpoint is left to the other gateways and the lead, which query it too.
 const MOST_ASKED: u32 = 6;
 
-/// Why a question brought nothing.
+/// Why a query got no answer.
 pub(crate) enum Unanswered {
     /// The endpoint failed, or its silence is evidence that it did.
     Failed(CallError),
-    /// This process was too late to tell.
+    /// This process ran too late to tell.
     Inconclusive,
 }
 
 impl Gateway {
-    /// Asks a question over `client`, which is given up after `limit`, until it is answered, the endpoint fails it, or the
+    /// Sends a query over `client`, with the timeout `limit`, until it is answered, the endpoint fails it, or the
     /// silence is evidence.
     pub(crate) async fn ask<T>(
         &self,
@@ -27,8 +27,8 @@
         question: impl AsyncFn(Duration) -> Result<T, CallError>,
     ) -> Result<T, Unanswered> {
         let mut silence = PeerSilence::new(limit);
-        // A kept connection may be silent, or closed just now, though the endpoint lives. The next question decides, over another
-        // one, and comes the sooner.
+        // A kept connection may be silent or just closed although the endpoint is alive. The next query goes over
+        // another connection and decides, so the first one gets half the timeout.
         let has_kept = client.has_idle();
         for nth in 0..MOST_ASKED {
             self.counters.add(Count::Reports);
@@ -47,7 +47,7 @@
         Err(Unanswered::Inconclusive)
     }
 
-    /// Whether a question that was asked at `asked` and failed is evidence against the endpoint, with the
+    /// Returns whether a query that was sent at `asked` and failed is evidence against the endpoint, together with the
     /// silence on those before it.
     pub(crate) fn is_evidence(
         &self,
--- a/crates/gateway/src/process/retry_budgets.rs
+++ b/crates/gateway/src/process/retry_budgets.rs
@@ -1,11 +1,11 @@
-//! The retry budget of each service, which all gateways share.
+//! The retry budget of each service, shared by all gateways.
 
 use crate::process::{Count, Gateway};
 use sorrellock_routing::process::RetryWindow;
 use tokio::time::Instant;
 
 impl Gateway {
-    /// A request came in for a service.
+    /// Counts a new request for a service.
     pub(crate) fn on_request(&self, service: &str) {
         let mut budgets = self.budgets.borrow_mut();
         let began = self.began.into_std();
@@ -14,7 +14,7 @@
         budget.on_request(Instant::now().into_std());
     }
 
-    /// Whether the budget has a send beyond a request's first left.
+    /// Returns whether the budget allows another send of a request after the first.
     pub(crate) fn may_repeat(&self, service: &str) -> bool {
         let now = Instant::now();
         let gateways = self.beliefs.borrow().gateways(now);
@@ -22,7 +22,7 @@
         budgets.get_mut(service).is_some_and(|budget| budget.may_spend(now.into_std(), gateways))
     }
 
-    /// Takes one send beyond a request's first from the budget.
+    /// Takes one send of a request after the first from the budget. Returns whether the budget allowed it.
     pub(crate) fn spend_repeat(&self, service: &str) -> bool {
         let now = Instant::now();
         let gateways = self.beliefs.borrow().gateways(now);
