--- a/crates/gateway/src/process/counters.rs
+++ b/crates/gateway/src/process/counters.rs
@@ -121,7 +121,7 @@
 }
 
 /// Longest latency that a histogram records, in microseconds; longer ones count as this.
-const MOST_US: u64 = 60_000_000;
+const MAX_US: u64 = 60_000_000;
 
 /// A histogram of latencies.
 pub(crate) struct Latency {
@@ -130,13 +130,13 @@
 
 impl Latency {
     fn new() -> Latency {
-        let us = Histogram::new_with_bounds(1, MOST_US, 2).expect("the bounds are in order");
+        let us = Histogram::new_with_bounds(1, MAX_US, 2).expect("the bounds are in order");
         Latency { us: RefCell::new(us) }
     }
 
     /// Records one latency.
     pub(crate) fn record(&self, latency: Duration) {
-        let us = (latency.as_micros() as u64).clamp(1, MOST_US);
+        let us = (latency.as_micros() as u64).clamp(1, MAX_US);
         self.us.borrow_mut().saturating_record(us);
     }
 
--- a/crates/gateway/src/process/dump.rs
+++ b/crates/gateway/src/process/dump.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 /// Maximum number of elements in each list: more than the largest deployment has endpoints.
-const MOST_ELEMENTS: usize = 1_024;
+const MAX_ELEMENTS: usize = 1_024;
 
 /// The state of a gateway. Ages are in ms.
 #[derive(Serialize)]
@@ -136,7 +136,7 @@
 }
 
 fn bounded<T>(mut all: impl Iterator<Item = T>, left_out: &mut usize) -> Vec<T> {
-    let kept = all.by_ref().take(MOST_ELEMENTS).collect();
+    let kept = all.by_ref().take(MAX_ELEMENTS).collect();
     *left_out += all.count();
     kept
 }
@@ -168,7 +168,7 @@
     let live = beliefs.live_peers(now).map(|peer| GatewayDump {
         instance: peer.message.instance.clone(),
         addr: peer.addr,
-        heard_ms: millis(peer.heard, now),
+        heard_ms: millis(peer.last_contact, now),
         config_version: peer.message.known.config,
         endpoints_era: peer.message.known.endpoints_at.era,
         endpoints_at: peer.message.known.endpoints_at.count,
@@ -203,10 +203,10 @@
 
 fn paths(gateway: &Gateway, knowledge: &Knowledge) -> Vec<PathDump> {
     let Some(routes) = knowledge.routes() else { return Vec::new() };
-    let book = gateway.paths.borrow();
+    let table = gateway.paths.borrow();
     let mut paths = Vec::new();
     for service in &routes.cfg().services {
-        paths.extend(book.paths(&service.name).iter().map(|live| PathDump {
+        paths.extend(table.paths(&service.name).iter().map(|live| PathDump {
             service: service.name.clone(),
             data_centre: live.path.data_centre.clone(),
             engines: live.path.parts.iter().map(|part| part.incarnation.to_string()).collect(),
--- a/crates/gateway/src/process/gateway.rs
+++ b/crates/gateway/src/process/gateway.rs
@@ -1,8 +1,8 @@
 //! State shared by all parts of a gateway.
 
 use crate::process::{
-    Beliefs, Count, Counters, LivePath, PathBook, Pool, ReportedSuspect, SUSPECT_FOR, StoreHeard,
-    ToldFaults,
+    Beliefs, Count, Counters, LivePath, PathTable, Pool, ReportedSuspect, SUSPICION_DURATION,
+    StoreHeard, ToldFaults,
 };
 use sorrellock_core::clock::SystemClock;
 use sorrellock_core::process::retries::Breakers;
@@ -22,7 +22,7 @@
 use tokio::time::Instant;
 
 /// Expected time until a gateway without a configuration is ready: the store answers within milliseconds.
-const READY_SOON: Duration = Duration::from_millis(500);
+const EXPECTED_START_DELAY: Duration = Duration::from_millis(500);
 
 /// Stage of the process's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -67,7 +67,7 @@
     pub(crate) incarnations: RefCell<Incarnations>,
     /// Faults of objects in the store that have been logged.
     pub(crate) told_faults: RefCell<ToldFaults>,
-    pub(crate) paths: Rc<RefCell<PathBook>>,
+    pub(crate) paths: Rc<RefCell<PathTable>>,
     pub(crate) pool: RefCell<Pool>,
     pub(crate) uses: RefCell<HashMap<Incarnation, EndpointUse>>,
     pub(crate) breakers: RefCell<Breakers<Incarnation, SystemClock>>,
@@ -164,7 +164,7 @@
         match self.leaving.get() {
             Some(leaving) => leaving.successor_in(now.into_std()),
             None if self.is_ready() => Duration::ZERO,
-            None => READY_SOON,
+            None => EXPECTED_START_DELAY,
         }
     }
 
@@ -184,7 +184,7 @@
     }
 
     /// Advances to a later phase. Does nothing if the phase is reached already.
-    pub(crate) fn reach(&self, phase: Phase) {
+    pub(crate) fn advance_phase(&self, phase: Phase) {
         self.phase.send_if_modified(|now| {
             let is_later = *now < phase;
             *now = phase.max(*now);
@@ -255,7 +255,7 @@
     /// Suspects an endpoint that failed an attempt, so that it gets no new work for a while.
     pub(crate) fn suspect(&self, incarnation: &Incarnation, evidence: FailureEvidence, why: &str) {
         let now = Instant::now();
-        if self.beliefs.borrow_mut().suspect(incarnation, evidence, now, SUSPECT_FOR) {
+        if self.beliefs.borrow_mut().suspect(incarnation, evidence, now, SUSPICION_DURATION) {
             warn!("endpoint suspected", kv: { endpoint = incarnation.id.as_str(), evidence:?, why });
             self.refresh_paths();
             self.engines_changed.notify_waiters();
@@ -266,19 +266,19 @@
     /// Applies other gateways' reports of failed engines. A report breaks the paths through its engine whose streams
     /// miss their events here, too. It counts for as long as it is repeated: a path that got an event just before the
     /// engine failed misses the next one only later.
-    pub(crate) fn take_reported_failures(&self) {
+    pub(crate) fn apply_reported_failures(&self) {
         let now = Instant::now();
         let mut broken = Vec::new();
-        let mut believed = Vec::new();
+        let mut applied = Vec::new();
         for (report, instance) in self.beliefs.borrow().reported_suspects(now) {
             let breaking = self.paths.borrow().breaking_by_report(report, now);
             if !breaking.is_empty() {
-                believed.push((report.clone(), instance.to_owned()));
+                applied.push((report.clone(), instance.to_owned()));
                 broken.extend(breaking);
             }
         }
-        for (report, instance) in &believed {
-            self.hear_suspicion(report, instance, now);
+        for (report, instance) in &applied {
+            self.apply_reported_suspect(report, instance, now);
         }
         if broken.is_empty() {
             return;
@@ -287,8 +287,9 @@
         broken.iter().for_each(|live| live.break_up());
     }
 
-    fn hear_suspicion(&self, report: &ReportedSuspect, instance: &str, now: Instant) {
-        if self.beliefs.borrow_mut().hear_suspect(report, instance, now, SUSPECT_FOR) {
+    fn apply_reported_suspect(&self, report: &ReportedSuspect, instance: &str, now: Instant) {
+        if self.beliefs.borrow_mut().add_reported_suspect(report, instance, now, SUSPICION_DURATION)
+        {
             warn!("endpoint suspected", kv: {
                 endpoint = report.incarnation.id.as_str(), evidence:? = report.evidence,
                 why = "reported by another gateway", instance
--- a/crates/gateway/src/process/listeners.rs
+++ b/crates/gateway/src/process/listeners.rs
@@ -29,7 +29,7 @@
 const DUMP_PATH: &str = "/dump";
 
 /// Serves readiness, metrics, the state dump and handovers, indefinitely.
-pub(crate) async fn serve_side_pages(gateway: Rc<Gateway>, listener: TcpListener) {
+pub(crate) async fn serve_internal_pages(gateway: Rc<Gateway>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
--- a/crates/gateway/src/process/log.rs
+++ b/crates/gateway/src/process/log.rs
@@ -14,7 +14,7 @@
 pub const LOG_BUFFER_BYTES: usize = 512 << 10;
 /// Bytes of the buffer reserved for failures: some 500 lines, so that the first failures aren't lost after a stalled
 /// reader let other lines fill the rest.
-const KEPT_FOR_FAILURES_BYTES: usize = 128 << 10;
+const RESERVED_FOR_FAILURES_BYTES: usize = 128 << 10;
 /// Interval of writes: at 5 per second the wake-ups cost less than the lines.
 const WRITE_INTERVAL: Duration = Duration::from_millis(200);
 
@@ -36,17 +36,17 @@
 /// Buffer writer for the logger's sink of one kind of lines. Both kinds share the buffer, in the order of their
 /// arrival, with the thread that writes it out.
 #[derive(Clone)]
-struct Lines {
+struct LineBuffer {
     buf: Arc<Mutex<Vec<u8>>>,
     /// Whether these are lines on failures, which may fill the whole buffer.
     are_failures: bool,
 }
 
-impl Write for Lines {
+impl Write for LineBuffer {
     /// Buffers a whole line or drops it.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut buf = self.buf.lock().expect("no panic holds this lock");
-        if buf.len() + line.len() > self.most_bytes() {
+        if buf.len() + line.len() > self.max_bytes() {
             DROPPED.fetch_add(1, Ordering::Relaxed);
             FAILURES_DROPPED.fetch_add(u64::from(self.are_failures), Ordering::Relaxed);
         } else {
@@ -60,21 +60,21 @@
     }
 }
 
-impl Lines {
-    fn new(buf: &Arc<Mutex<Vec<u8>>>, are_failures: bool) -> Lines {
-        Lines { buf: Arc::clone(buf), are_failures }
+impl LineBuffer {
+    fn new(buf: &Arc<Mutex<Vec<u8>>>, are_failures: bool) -> LineBuffer {
+        LineBuffer { buf: Arc::clone(buf), are_failures }
     }
 
-    fn most_bytes(&self) -> usize {
+    fn max_bytes(&self) -> usize {
         if self.are_failures {
             LOG_BUFFER_BYTES
         } else {
-            LOG_BUFFER_BYTES - KEPT_FOR_FAILURES_BYTES
+            LOG_BUFFER_BYTES - RESERVED_FOR_FAILURES_BYTES
         }
     }
 
     /// Returns the logger's sink for these lines.
-    fn sink(self) -> Arc<WriteSink<Lines>> {
+    fn sink(self) -> Arc<WriteSink<LineBuffer>> {
         let levels = if self.are_failures {
             LevelFilter::MoreSevereEqual(Level::Warn)
         } else {
@@ -92,7 +92,7 @@
 pub fn set_up_log() -> LogGuard {
     let buf = Arc::default();
     let mut logger = Logger::builder();
-    logger.sink(Lines::new(&buf, false).sink()).sink(Lines::new(&buf, true).sink());
+    logger.sink(LineBuffer::new(&buf, false).sink()).sink(LineBuffer::new(&buf, true).sink());
     logger.level_filter(LevelFilter::All);
     let logger = logger.build().expect("the logger's settings are complete");
     spdlog::set_default_logger(Arc::new(logger));
--- a/crates/gateway/src/process/paths/live_path.rs
+++ b/crates/gateway/src/process/paths/live_path.rs
@@ -9,26 +9,26 @@
 /// Time without an event on any stream after which the engines of a path with few streams are probed. All streams
 /// of a path get an event with each pass of its engines, about every 55 ms, and a pass that reads prompts takes up
 /// to twice as long.
-const PATH_QUIET: Duration = Duration::from_millis(85);
+const PATH_IDLE_LIMIT: Duration = Duration::from_millis(85);
 /// The same for a path with [`SOME_STREAMS`]: they rarely all begin or end at the same moment.
-const SOME_STREAMS_QUIET: Duration = Duration::from_millis(75);
+const SOME_STREAMS_IDLE_LIMIT: Duration = Duration::from_millis(75);
 /// Time without an event after which one counts as late, so that a path breaks if the lead considers an engine dead.
-const EVENT_MISSED: Duration = Duration::from_millis(65);
+const EVENT_LATE_AFTER: Duration = Duration::from_millis(65);
 /// Time without an event on any stream after which a path with few streams gets no new requests: three times the
 /// longest regular pause. A path that reads many prompts is silent for half of this.
-const PATH_SILENCE: Duration = Duration::from_millis(600);
+const PATH_SILENT_LIMIT: Duration = Duration::from_millis(600);
 /// The same for a path with [`SOME_STREAMS`].
-const SOME_STREAMS_SILENCE: Duration = Duration::from_millis(300);
+const SOME_STREAMS_SILENT_LIMIT: Duration = Duration::from_millis(300);
 /// Number of streams from which the shorter limits apply.
 const SOME_STREAMS: u32 = 4;
 
 /// Availability of an engine for running and new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum EngineFate {
+pub(crate) enum EngineAvailability {
     /// Accepts new work.
-    Stays,
+    Available,
     /// Finishes its running work for a few seconds, and accepts nothing new.
-    Leaves,
+    Leaving,
     /// Its running work is lost.
     Dead,
 }
@@ -40,7 +40,7 @@
     /// Share of its layers that another engine of its data centre also holds.
     pub(crate) redundancy: Cell<f64>,
     /// Whether it has been logged.
-    pub(crate) is_told: Cell<bool>,
+    pub(crate) is_logged: Cell<bool>,
     /// Number of concurrent requests that its first engine accepts from all gateways.
     pub(crate) slots: u32,
     /// Number of this gateway's running streams.
@@ -70,7 +70,7 @@
             path,
             slots,
             redundancy: Cell::new(0.0),
-            is_told: Cell::new(false),
+            is_logged: Cell::new(false),
             streams: Cell::new(0),
             tokens: Cell::new(0.0),
             last_event: Cell::new(now),
@@ -86,19 +86,19 @@
 
     /// Returns whether no stream got an event for so long that its engines should be probed. `later` extends the
     /// limit, so that other gateways probe first.
-    pub(crate) fn is_quiet(&self, now: Instant, later: Duration) -> bool {
-        let limit = self.limit(SOME_STREAMS_QUIET, PATH_QUIET) + later;
+    pub(crate) fn is_idle(&self, now: Instant, later: Duration) -> bool {
+        let limit = self.limit(SOME_STREAMS_IDLE_LIMIT, PATH_IDLE_LIMIT) + later;
         self.streams.get() > 0 && now - self.last_event.get() > limit
     }
 
     /// Returns whether all its streams miss the event that is due.
     pub(crate) fn misses_events(&self, now: Instant) -> bool {
-        self.streams.get() > 0 && now - self.last_event.get() > EVENT_MISSED
+        self.streams.get() > 0 && now - self.last_event.get() > EVENT_LATE_AFTER
     }
 
     /// Returns whether no stream got an event for so long that it should get no new requests.
     pub(crate) fn is_silent(&self, now: Instant) -> bool {
-        let limit = self.limit(SOME_STREAMS_SILENCE, PATH_SILENCE);
+        let limit = self.limit(SOME_STREAMS_SILENT_LIMIT, PATH_SILENT_LIMIT);
         self.streams.get() > 0 && now - self.last_event.get() > limit
     }
 
@@ -158,15 +158,15 @@
     }
 
     /// Sets whether one of its engines is considered dead.
-    pub(crate) fn judge(&self, is_dead: bool, now: Instant) {
+    pub(crate) fn set_engine_dead(&self, is_dead: bool, now: Instant) {
         self.update(|health| health.judge(is_dead));
         self.break_if_suspected(now);
     }
 
     /// Breaks it if one of its engines is considered dead and no stream gets events.
     pub(crate) fn break_if_suspected(&self, now: Instant) {
-        let is_quiet = self.streams.get() == 0 || self.misses_events(now);
-        if self.update(|health| health.break_if_suspected(is_quiet)) {
+        let has_no_events = self.streams.get() == 0 || self.misses_events(now);
+        if self.update(|health| health.break_if_suspected(has_no_events)) {
             self.changed.notify_waiters();
         }
     }
@@ -190,9 +190,10 @@
 
     /// Returns whether another gateway's report that one of its engines failed breaks it.
     pub(crate) fn breaks_by_report(&self, evidence: FailureEvidence, now: Instant) -> bool {
-        let is_idle = self.streams.get() > 0 && now - self.last_event.get() > evidence.min_idle();
+        let exceeds_min_idle =
+            self.streams.get() > 0 && now - self.last_event.get() > evidence.min_idle();
         let trusts = self.health.get().trusts_reports(now.into_std());
-        !self.is_broken() && is_idle && (trusts || self.is_silent(now))
+        !self.is_broken() && exceeds_min_idle && (trusts || self.is_silent(now))
     }
 
     fn update<T>(&self, change: impl FnOnce(&mut PathHealth) -> T) -> T {
--- a/crates/gateway/src/process/paths/mod.rs
+++ b/crates/gateway/src/process/paths/mod.rs
@@ -1,12 +1,12 @@
 //! Paths over engines: their selection, load and health.
 
 mod live_path;
-mod path_book;
 mod path_check;
-mod path_place;
 mod path_refresh;
+mod path_reservation;
+mod path_table;
 
 pub(crate) use live_path::*;
-pub(crate) use path_book::*;
 pub(crate) use path_check::*;
-pub(crate) use path_place::*;
+pub(crate) use path_reservation::*;
+pub(crate) use path_table::*;
--- a/crates/gateway/src/process/paths/path_refresh.rs
+++ b/crates/gateway/src/process/paths/path_refresh.rs
@@ -1,6 +1,6 @@
 //! Recomputes the paths from the known state of the engines.
 
-use crate::process::{EngineFate, Gateway, LivePath};
+use crate::process::{EngineAvailability, Gateway, LivePath};
 use sorrellock_routing::process::knowledge::Knowledge;
 use sorrellock_routing::process::{DataCentre, Holder, Incarnation, LayerRange};
 use sorrellock_routing::version::ModelShape;
@@ -20,33 +20,36 @@
             let holders = self.holders(&knowledge, &service.name, shape, now);
             let beliefs = self.beliefs.borrow();
             let incarnations = self.incarnations.borrow();
-            let fate = |incarnation: &Incarnation| {
+            let availability = |incarnation: &Incarnation| {
                 let is_dead = beliefs.engine(incarnation, now).is_some_and(|engine| engine.is_dead);
                 if is_dead || incarnations.has_ended(incarnation) {
-                    return EngineFate::Dead;
+                    return EngineAvailability::Dead;
                 }
                 let endpoint = knowledge.endpoint(&incarnation.id);
                 match endpoint.filter(|_| !knowledge.is_unusable(&incarnation.id)) {
-                    Some(endpoint) if endpoint.started != incarnation.started => EngineFate::Dead,
+                    Some(endpoint) if endpoint.started != incarnation.started => {
+                        EngineAvailability::Dead
+                    }
                     Some(endpoint)
                         if !endpoint.is_leaving && !beliefs.is_leaving(incarnation, now) =>
                     {
-                        EngineFate::Stays
+                        EngineAvailability::Available
                     }
                     // Finishes its running work for a while, even without a usable entry.
-                    _ => EngineFate::Leaves,
+                    _ => EngineAvailability::Leaving,
                 }
             };
             let mut paths = self.paths.borrow_mut();
-            if paths.rebuild(&service.name, shape, &holders, fate, leaving_serves_for, now) {
+            if paths.rebuild(&service.name, shape, &holders, availability, leaving_serves_for, now)
+            {
                 let gaps = gaps(&holders, shape.layers);
                 if !gaps.is_empty() {
                     warn!("layers without an engine", kv: {
                         service = service.name.as_str(), gaps = gaps.as_str()
                     });
                 }
-                let untold = |live: &&Rc<LivePath>| !live.is_told.replace(true);
-                for live in paths.paths(&service.name).iter().filter(untold) {
+                let unlogged = |live: &&Rc<LivePath>| !live.is_logged.replace(true);
+                for live in paths.paths(&service.name).iter().filter(unlogged) {
                     let text = sorrellock_platform::format_path(&live.path.parts);
                     info!("path in use", kv: {
                         service = service.name.as_str(),
@@ -59,7 +62,7 @@
         }
         let is_served =
             |name: &str| knowledge.services(now.into_std()).any(|service| service.name == name);
-        self.paths.borrow_mut().forget_services(is_served);
+        self.paths.borrow_mut().remove_services(is_served);
     }
 
     /// Returns the engines that may be part of a path, with the layers that they can run now.
--- a/crates/gateway/src/process/paths/path_place.rs
+++ b/crates/gateway/src/process/paths/path_reservation.rs
@@ -1,6 +1,6 @@
 //! Reservations of streams on paths.
 
-use crate::process::{LivePath, NoPlace, PathBook};
+use crate::process::{LivePath, NoPlace, PathTable};
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::sync::Notify;
@@ -31,15 +31,15 @@
 
 /// Reserves `tokens` on the path with the highest share of free capacity.
 pub(crate) fn take_place(
-    book: &Rc<RefCell<PathBook>>,
+    table: &Rc<RefCell<PathTable>>,
     service: &str,
     tokens: f64,
     own_data_centre: &str,
     may_take: impl Fn(&Rc<LivePath>) -> bool,
     now: Instant,
 ) -> Result<PathPlace, NoPlace> {
-    let live = book.borrow().choose(service, tokens, own_data_centre, may_take, now)?;
+    let live = table.borrow().choose(service, tokens, own_data_centre, may_take, now)?;
     live.add_stream(tokens, now);
-    let freed = book.borrow().freed();
+    let freed = table.borrow().freed();
     Ok(PathPlace { live, tokens, freed })
 }
--- a/crates/gateway/src/process/paths/path_book.rs
+++ b/crates/gateway/src/process/paths/path_table.rs
@@ -1,6 +1,6 @@
 //! The paths in use, the load of this gateway's streams on them, and path selection.
 
-use crate::process::{EngineFate, LivePath, ReportedSuspect};
+use crate::process::{EngineAvailability, LivePath, ReportedSuspect};
 use rand::RngExt;
 use sorrellock_routing::process::{BestPaths, Holder, Incarnation, PathPart, RankedPath};
 use sorrellock_routing::version::{ModelShape, ServiceName};
@@ -13,12 +13,12 @@
 
 /// Maximum share of a path's capacity that is reserved: estimates of answer lengths are often off, and a full
 /// engine preempts streams.
-const FILL: f64 = 0.92;
+const MAX_UTILIZATION: f64 = 0.92;
 /// Bonus for paths in the gateway's own data centre, as a share of capacity.
 const OWN_DATA_CENTRE_BONUS: f64 = 0.03;
 /// Penalty for a path whose layers no other engine holds, as a share of capacity: the death of one of its engines
 /// breaks all its streams, while streams of other paths continue over another chain.
-const FRAGILE_PENALTY: f64 = 0.15;
+const NO_REDUNDANCY_PENALTY: f64 = 0.15;
 /// Random part of the score, as a share of capacity: gateways that don't see each other's newest streams
 /// shouldn't all choose the same path.
 const CHOICE_NOISE: f64 = 0.04;
@@ -43,17 +43,17 @@
 
 /// The paths of all services.
 #[derive(Default)]
-pub(crate) struct PathBook {
+pub(crate) struct PathTable {
     paths: HashMap<ServiceName, Vec<Rc<LivePath>>>,
     best: HashMap<ServiceName, BestPaths>,
     /// Load of other gateways' streams, by the first engine of their path.
     peers: HashMap<Incarnation, Load>,
     /// KV cache capacity of each engine, in tokens times layers.
-    rooms: HashMap<Incarnation, f64>,
+    kv_capacities: HashMap<Incarnation, f64>,
     freed: Rc<Notify>,
 }
 
-impl PathBook {
+impl PathTable {
     /// Sets the load of other gateways' streams, by the first engine of their path.
     pub(crate) fn set_peer_loads(&mut self, peers: HashMap<Incarnation, Load>) {
         self.peers = peers;
@@ -118,9 +118,9 @@
     }
 
     /// Returns the paths without events on any stream for so long that their engines should be probed.
-    pub(crate) fn quiet(&self, now: Instant) -> impl Iterator<Item = &Rc<LivePath>> {
+    pub(crate) fn idle(&self, now: Instant) -> impl Iterator<Item = &Rc<LivePath>> {
         let all = self.paths.values().flatten();
-        all.filter(move |live| !live.is_broken() && live.is_quiet(now, Duration::ZERO))
+        all.filter(move |live| !live.is_broken() && live.is_idle(now, Duration::ZERO))
     }
 
     /// Returns the signal that capacity was freed or the paths changed.
@@ -139,17 +139,19 @@
         service: &str,
         shape: &ModelShape,
         holders: &[Holder],
-        fate: impl Fn(&Incarnation) -> EngineFate,
+        availability: impl Fn(&Incarnation) -> EngineAvailability,
         leaving_serves_for: Duration,
         now: Instant,
     ) -> bool {
-        self.rooms
+        self.kv_capacities
             .extend(holders.iter().map(|holder| (holder.incarnation.clone(), holder.kv_room)));
         let old = self.paths.remove(service).unwrap_or_default();
         for live in &old {
-            let has = |wanted| live.path.parts.iter().any(|part| fate(&part.incarnation) == wanted);
-            live.judge(has(EngineFate::Dead), now);
-            live.set_leaving(has(EngineFate::Leaves), leaving_serves_for, now);
+            let has = |wanted| {
+                live.path.parts.iter().any(|part| availability(&part.incarnation) == wanted)
+            };
+            live.set_engine_dead(has(EngineAvailability::Dead), now);
+            live.set_leaving(has(EngineAvailability::Leaving), leaving_serves_for, now);
         }
         let mut is_changed = false;
         let mut fresh = Vec::new();
@@ -173,15 +175,15 @@
         is_changed |= fresh.len() != old.iter().filter(was_in_use).count();
         // An old path, even a broken one, is kept while a stream runs on it or an order to continue over it is in
         // progress: either holds a reference besides this table.
-        let keep_watch = old.into_iter().filter(|live| {
+        let still_used = old.into_iter().filter(|live| {
             Rc::strong_count(live) > 1 && !fresh.iter().any(|other| Rc::ptr_eq(other, live))
         });
-        for live in keep_watch.collect::<Vec<_>>() {
+        for live in still_used.collect::<Vec<_>>() {
             live.is_superseded.set(true);
             fresh.push(live);
         }
         self.paths.insert(service.to_owned(), fresh);
-        self.forget_rooms();
+        self.remove_unused_capacities();
         if is_changed {
             self.freed.notify_waiters();
         }
@@ -189,18 +191,18 @@
     }
 
     /// Removes the paths of services that are no longer served, unless a stream still runs on them.
-    pub(crate) fn forget_services(&mut self, is_served: impl Fn(&str) -> bool) {
+    pub(crate) fn remove_services(&mut self, is_served: impl Fn(&str) -> bool) {
         let is_used = |paths: &[Rc<LivePath>]| paths.iter().any(|live| live.streams.get() > 0);
         self.paths.retain(|service, paths| is_served(service) || is_used(paths));
         self.best.retain(|service, _| self.paths.contains_key(service));
-        self.forget_rooms();
+        self.remove_unused_capacities();
     }
 
     /// Removes the capacities of engines that are part of no path.
-    fn forget_rooms(&mut self) {
+    fn remove_unused_capacities(&mut self) {
         let parts = self.paths.values().flatten().flat_map(|live| &live.path.parts);
         let incarnations: BTreeSet<&Incarnation> = parts.map(|part| &part.incarnation).collect();
-        self.rooms.retain(|incarnation, _| incarnations.contains(incarnation));
+        self.kv_capacities.retain(|incarnation, _| incarnations.contains(incarnation));
     }
 
     /// Returns a path over which the requests of path `of` can continue. Engines accept such an order only where the
@@ -219,12 +221,17 @@
                 && live.path.first() == of.path.first()
         };
         let in_use = self.paths(service).iter().find(fits).cloned();
-        in_use.or_else(|| self.detour(service, of, now))
+        in_use.or_else(|| self.alternate_path(service, of, now))
     }
 
     /// Returns a path with the same first engine that isn't in use for new requests, because the one in use from that
     /// engine splits the layers differently.
-    fn detour(&mut self, service: &str, of: &Rc<LivePath>, now: Instant) -> Option<Rc<LivePath>> {
+    fn alternate_path(
+        &mut self,
+        service: &str,
+        of: &Rc<LivePath>,
+        now: Instant,
+    ) -> Option<Rc<LivePath>> {
         let path = self.best.get(service)?.with_first(&of.path)?;
         if path.parts == of.path.parts {
             return None;
@@ -274,16 +281,16 @@
         for live in self.paths(service).iter().filter(is_open) {
             let begun = self.head_streams(service, &live.path.first().incarnation) + 1;
             let of_slots = f64::from(begun) / f64::from(live.slots);
-            let share = self.fill(live, &used, tokens).max(of_slots);
-            if share > FILL {
+            let share = self.utilization(live, &used, tokens).max(of_slots);
+            if share > MAX_UTILIZATION {
                 is_full = true;
                 continue;
             }
             let own =
                 if live.path.data_centre == own_data_centre { OWN_DATA_CENTRE_BONUS } else { 0.0 };
-            let fragile = (1.0 - live.redundancy.get()) * FRAGILE_PENALTY;
-            let score = share + fragile - own + rand::rng().random_range(0.0..CHOICE_NOISE);
-            if best.is_none_or(|(least, _)| score < least) {
+            let penalty = (1.0 - live.redundancy.get()) * NO_REDUNDANCY_PENALTY;
+            let score = share + penalty - own + rand::rng().random_range(0.0..CHOICE_NOISE);
+            if best.is_none_or(|(lowest, _)| score < lowest) {
                 best = Some((score, live));
             }
         }
@@ -309,7 +316,7 @@
             format!(
                 "{} {state} {:.0}% of {:.0} tokens, {}/{} streams",
                 live.path.data_centre,
-                self.fill(live, &used, 0.0) * 100.0,
+                self.utilization(live, &used, 0.0) * 100.0,
                 live.path.token_room,
                 self.head_streams(service, &live.path.first().incarnation),
                 live.slots
@@ -323,16 +330,16 @@
         let used = self.kv_used(service);
         let here = self.paths(service).iter().filter(|live| live.path.data_centre == data_centre);
         let in_use = here.filter(|live| !live.is_superseded.get());
-        in_use.map(|live| self.fill(live, &used, 0.0)).fold(0.0, f64::max)
+        in_use.map(|live| self.utilization(live, &used, 0.0)).fold(0.0, f64::max)
     }
 
     /// Returns the share of KV cache taken at the fullest engine of a path, with `tokens` more reserved.
-    fn fill(&self, live: &LivePath, used: &HashMap<&Incarnation, f64>, tokens: f64) -> f64 {
-        let fill = |part: &PathPart| {
+    fn utilization(&self, live: &LivePath, used: &HashMap<&Incarnation, f64>, tokens: f64) -> f64 {
+        let utilization = |part: &PathPart| {
             let taken = used.get(&part.incarnation).copied().unwrap_or_default();
-            let room = self.rooms.get(&part.incarnation).copied().unwrap_or_default();
-            (taken + tokens * f64::from(part.layers.len())) / room.max(1.0)
+            let capacity = self.kv_capacities.get(&part.incarnation).copied().unwrap_or_default();
+            (taken + tokens * f64::from(part.layers.len())) / capacity.max(1.0)
         };
-        live.path.parts.iter().map(fill).fold(0.0, f64::max)
+        live.path.parts.iter().map(utilization).fold(0.0, f64::max)
     }
 }
--- a/crates/gateway/src/process/peers/catch_up.rs
+++ b/crates/gateway/src/process/peers/catch_up.rs
@@ -1,6 +1,6 @@
 //! Fetches configurations and endpoints that another gateway has and this one lacks.
 
-use super::peers::{Peers, TELL_INTERVAL};
+use super::peers::{Peers, SEND_INTERVAL};
 use http::Method;
 use sorrellock_platform::{Client, Kind};
 use sorrellock_routing::process::knowledge::Handover;
@@ -12,9 +12,9 @@
 use tokio::time::{Instant, sleep};
 
 /// How long another gateway may be ahead before its data is fetched: a working watch delivers it sooner.
-const BEHIND_PATIENCE: Duration = Duration::from_millis(300);
+const BEHIND_TIMEOUT: Duration = Duration::from_millis(300);
 /// Timeout of a handover request: a large configuration takes some 100 ms on a fifth of a core.
-const HANDOVER_LIMIT: Duration = Duration::from_millis(1_500);
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Path prefix of handover requests. The requester's configuration version and the revision up to which it knows
 /// the endpoints follow.
 pub(crate) const HANDOVER_PATH: &str = "/handover/";
@@ -24,13 +24,13 @@
     pub(crate) async fn catch_up(self: Rc<Self>) {
         let mut behind_since: Option<Instant> = None;
         loop {
-            sleep(TELL_INTERVAL).await;
+            sleep(SEND_INTERVAL).await;
             let Some((instance, addr)) = self.ahead() else {
                 behind_since = None;
                 continue;
             };
             let since = *behind_since.get_or_insert_with(Instant::now);
-            if since.elapsed() < BEHIND_PATIENCE {
+            if since.elapsed() < BEHIND_TIMEOUT {
                 continue;
             }
             behind_since = None;
@@ -43,9 +43,9 @@
         let now = Instant::now();
         let own = self.gateway.knowledge.borrow().known();
         let beliefs = self.gateway.beliefs.borrow();
-        let heard = beliefs.live_peers(now);
-        let heard = heard.map(|peer| (peer.message.instance.as_str(), peer.message.known));
-        let instance = self.sources.borrow_mut().choose(own, heard, now.into_std())?;
+        let peers = beliefs.live_peers(now);
+        let peers = peers.map(|peer| (peer.message.instance.as_str(), peer.message.known));
+        let instance = self.sources.borrow_mut().choose(own, peers, now.into_std())?;
         Some((instance.to_owned(), beliefs.peers.get(instance)?.addr))
     }
 
@@ -53,7 +53,7 @@
         let client = Client::new(addr);
         let Known { config, endpoints_at } = self.gateway.knowledge.borrow().known();
         let path = format!("{HANDOVER_PATH}{config}/{endpoints_at}");
-        let answer = client.call(Method::GET, &path, None, HANDOVER_LIMIT).await;
+        let answer = client.call(Method::GET, &path, None, HANDOVER_TIMEOUT).await;
         let answered = Instant::now();
         let read =
             |body: &[u8]| serde_json::from_slice::<Handover>(body).map_err(|e| e.to_string());
--- a/crates/gateway/src/process/peers/beliefs.rs
+++ b/crates/gateway/src/process/peers/fleet_state.rs
@@ -1,7 +1,7 @@
 //! Live state of engines and other gateways that the store doesn't hold: own observations, other gateways'
 //! reports and the lead's view.
 
-use super::recent_news::RecentNews;
+use super::recent_updates::RecentUpdates;
 use crate::process::{EndedIncarnation, EngineView, LeadView, PeerMessage, ReportedSuspect};
 use sorrellock_core::process::membership::rendezvous_several;
 use sorrellock_platform::Kind;
@@ -13,24 +13,24 @@
 use tokio::time::Instant;
 
 /// Time without a message after which a gateway counts as gone: ten lost messages in a row.
-const PEER_LAPSE: Duration = Duration::from_millis(1_500);
+const PEER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time without a message after which a gateway no longer shares the retry budget: its window has passed.
-const BUDGET_SHARER_LAPSE: Duration = Duration::from_secs(15);
+const BUDGET_SHARER_TIMEOUT: Duration = Duration::from_secs(15);
 /// Time without a message after which a leaving gateway's successor is no longer expected.
-const SUCCESSOR_LAPSE: Duration = Duration::from_secs(15);
+const SUCCESSOR_TIMEOUT: Duration = Duration::from_secs(15);
 /// Expected time until an overdue successor is ready.
 const SUCCESSOR_OVERDUE: Duration = Duration::from_millis(500);
 /// How long the lead's last view is used; after that the list of endpoints is fresher.
-pub(crate) const LEAD_VIEW_LAPSE: Duration = Duration::from_secs(4);
+pub(crate) const LEAD_VIEW_TIMEOUT: Duration = Duration::from_secs(4);
 /// How long an endpoint that failed an attempt gets no new work, unless the lead reports more about it.
-pub(crate) const SUSPECT_FOR: Duration = Duration::from_millis(1_000);
+pub(crate) const SUSPICION_DURATION: Duration = Duration::from_millis(1_000);
 
 /// Number of gateways that probe an endpoint on behalf of all: one of them may not reach it, or may not know yet
 /// that its entry is gone.
-const ASKERS: usize = 2;
+const PROBERS_PER_ENDPOINT: usize = 2;
 /// How long an endpoint's own report that it is leaving counts. By then its entry says the same, except during an
 /// outage of the store.
-pub(crate) const LEAVING_FOR: Duration = Duration::from_secs(10);
+pub(crate) const LEAVING_REPORT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Another gateway.
 pub(crate) struct Peer {
@@ -39,29 +39,30 @@
     /// Its latest message.
     pub(crate) message: PeerMessage,
     /// When the latest message arrived.
-    pub(crate) heard: Instant,
+    pub(crate) last_contact: Instant,
 }
 
 impl Peer {
     /// Returns the time since its own data of a kind was last confirmed complete by the store.
     pub(crate) fn store_heard(&self, kind: Kind, now: Instant) -> Option<Duration> {
-        let told_ms = match kind {
+        let age_ms = match kind {
             Kind::Configuration => self.message.configuration_heard_ms,
             Kind::Endpoints => self.message.endpoints_heard_ms,
             Kind::Gateways | Kind::Leads => None,
         };
-        Some(Duration::from_millis(told_ms?.into()) + (now - self.heard))
+        Some(Duration::from_millis(age_ms?.into()) + (now - self.last_contact))
     }
 
     /// Returns the time until it, or the successor that it announced, is expected to be ready; `None` if it went
     /// silent without announcing one.
     fn ready_in(&self, now: Instant) -> Option<Duration> {
-        let silent = now - self.heard;
-        let told = Duration::from_millis(self.message.ready_in_ms.into());
-        if told.is_zero() {
-            return (silent < PEER_LAPSE).then_some(Duration::ZERO);
+        let silent = now - self.last_contact;
+        let announced = Duration::from_millis(self.message.ready_in_ms.into());
+        if announced.is_zero() {
+            return (silent < PEER_TIMEOUT).then_some(Duration::ZERO);
         }
-        (silent < SUCCESSOR_LAPSE).then(|| told.saturating_sub(silent).max(SUCCESSOR_OVERDUE))
+        (silent < SUCCESSOR_TIMEOUT)
+            .then(|| announced.saturating_sub(silent).max(SUCCESSOR_OVERDUE))
     }
 }
 
@@ -130,9 +131,9 @@
     /// says so.
     leaving: HashMap<Incarnation, Leaving>,
     /// Ended incarnations that this gateway found.
-    ended: RecentNews<EndedIncarnation>,
+    ended: RecentUpdates<EndedIncarnation>,
     /// Endpoints without an entry that reported to this gateway that they are leaving.
-    left: RecentNews<Incarnation>,
+    left: RecentUpdates<Incarnation>,
     /// The lead's last view, and when the lead last sent a message.
     lead: Option<(LeadView, Instant)>,
     /// Index of each engine in the lead's view.
@@ -142,14 +143,15 @@
 impl Beliefs {
     /// Returns the other gateways that sent a message recently.
     pub(crate) fn live_peers(&self, now: Instant) -> impl Iterator<Item = &Peer> {
-        self.peers.values().filter(move |peer| now - peer.heard < PEER_LAPSE)
+        self.peers.values().filter(move |peer| now - peer.last_contact < PEER_TIMEOUT)
     }
 
     /// Returns the number of gateways that share the retry budget, this one included. Registered gateways that
     /// can't be reached count, as they may still spend it.
     pub(crate) fn gateways(&self, now: Instant) -> usize {
-        let heard = self.peers.values().filter(|peer| now - peer.heard < BUDGET_SHARER_LAPSE);
-        (heard.count() + 1).max(self.registered)
+        let sharers =
+            self.peers.values().filter(|peer| now - peer.last_contact < BUDGET_SHARER_TIMEOUT);
+        (sharers.count() + 1).max(self.registered)
     }
 
     /// Returns the time until each other gateway is expected to be ready: first those of the data centre, then the
@@ -203,9 +205,10 @@
 
     /// Returns how many live gateways had their endpoints confirmed complete by the store within `age`.
     pub(crate) fn watchers(&self, age: Duration, now: Instant) -> usize {
-        let heard =
-            |peer: &&Peer| peer.store_heard(Kind::Endpoints, now).is_some_and(|heard| heard < age);
-        self.live_peers(now).filter(heard).count()
+        let is_fresh = |peer: &&Peer| {
+            peer.store_heard(Kind::Endpoints, now).is_some_and(|data_age| data_age < age)
+        };
+        self.live_peers(now).filter(is_fresh).count()
     }
 
     /// Suspects an endpoint that failed, so that it gets no new work for a while. Returns whether this gateway
@@ -217,11 +220,11 @@
         now: Instant,
         lasts: Duration,
     ) -> bool {
-        let is_news = !self
+        let is_new = !self
             .suspects
             .get(incarnation)
             .is_some_and(|suspect| suspect.is_own() && suspect.until > now);
-        match self.suspects.get_mut(incarnation).filter(|_| !is_news) {
+        match self.suspects.get_mut(incarnation).filter(|_| !is_new) {
             Some(known) => {
                 known.until = now + lasts;
                 known.evidence = evidence;
@@ -231,25 +234,25 @@
                 self.suspects.insert(incarnation.clone(), suspicion);
             }
         }
-        is_news
+        is_new
     }
 
     /// Suspects an endpoint that another gateway reports and that doesn't serve this one either. Returns whether it
     /// wasn't suspected before.
-    pub(crate) fn hear_suspect(
+    pub(crate) fn add_reported_suspect(
         &mut self,
         report: &ReportedSuspect,
         instance: &str,
         now: Instant,
         lasts: Duration,
     ) -> bool {
-        let is_news = !self.is_suspect(&report.incarnation, now);
-        if is_news {
+        let is_new = !self.is_suspect(&report.incarnation, now);
+        if is_new {
             let source = SuspicionSource::Gateway(instance.to_owned());
             let suspicion = Suspicion::new(source, report.evidence, now, lasts);
             self.suspects.insert(report.incarnation.clone(), suspicion);
         }
-        is_news
+        is_new
     }
 
     /// Returns the current suspicion of an endpoint, if any.
@@ -274,15 +277,15 @@
 
     /// Records an endpoint's own report that it accepts no more requests. Returns whether that is new.
     pub(crate) fn believe_leaving(&mut self, incarnation: &Incarnation, now: Instant) -> bool {
-        let is_news = !self.is_leaving(incarnation, now);
-        let leaving = Leaving { until: now + LEAVING_FOR, is_own: true };
+        let is_new = !self.is_leaving(incarnation, now);
+        let leaving = Leaving { until: now + LEAVING_REPORT_TIMEOUT, is_own: true };
         self.leaving.insert(incarnation.clone(), leaving);
-        is_news
+        is_new
     }
 
     /// Records such a report that another gateway received.
-    pub(crate) fn hear_leaving(&mut self, incarnation: &Incarnation, now: Instant) {
-        let leaving = Leaving { until: now + LEAVING_FOR, is_own: false };
+    pub(crate) fn add_reported_leaving(&mut self, incarnation: &Incarnation, now: Instant) {
+        let leaving = Leaving { until: now + LEAVING_REPORT_TIMEOUT, is_own: false };
         self.leaving.insert(incarnation.clone(), leaving);
     }
 
@@ -293,7 +296,7 @@
 
     /// Returns the endpoints that reported to this gateway itself that they accept no more requests. Reports that
     /// others received aren't passed on: otherwise they would circulate indefinitely.
-    pub(crate) fn leaving_own(&mut self, now: Instant) -> Vec<Incarnation> {
+    pub(crate) fn own_leaving(&mut self, now: Instant) -> Vec<Incarnation> {
         self.leaving.retain(|_, leaving| leaving.until > now);
         let own = self.leaving.iter().filter(|(_, leaving)| leaving.is_own);
         own.map(|(incarnation, _)| incarnation.clone()).collect()
@@ -318,21 +321,21 @@
 
     /// Records the end of an incarnation that this gateway learned from an answer.
     pub(crate) fn note_end(&mut self, ended: EndedIncarnation, now: Instant) {
-        self.ended.note(ended, now);
+        self.ended.add(ended, now);
     }
 
     /// Returns the ended incarnations that this gateway found recently.
-    pub(crate) fn ended_own(&mut self, now: Instant) -> Vec<EndedIncarnation> {
+    pub(crate) fn own_ended(&mut self, now: Instant) -> Vec<EndedIncarnation> {
         self.ended.current(now)
     }
 
     /// Records an endpoint without an entry that reported to this gateway that it is leaving.
     pub(crate) fn note_left(&mut self, incarnation: Incarnation, now: Instant) {
-        self.left.note(incarnation, now);
+        self.left.add(incarnation, now);
     }
 
     /// Returns the endpoints without an entry that recently reported to this gateway that they are leaving.
-    pub(crate) fn left_own(&mut self, now: Instant) -> Vec<Incarnation> {
+    pub(crate) fn own_left(&mut self, now: Instant) -> Vec<Incarnation> {
         self.left.current(now)
     }
 
@@ -341,13 +344,13 @@
     pub(crate) fn asks_for_all(&self, id: &str, incarnation: u64, now: Instant) -> bool {
         let others = self.live_peers(now).map(|peer| peer.message.incarnation);
         let all = others.chain([incarnation]);
-        rendezvous_several(id.as_bytes(), all, ASKERS).contains(&incarnation)
+        rendezvous_several(id.as_bytes(), all, PROBERS_PER_ENDPOINT).contains(&incarnation)
     }
 
     /// Applies a lead's view, unless a lead with a higher term was active recently. Returns whether it was applied.
     pub(crate) fn apply_lead(&mut self, view: LeadView, now: Instant) -> bool {
-        let newer = |(known, heard): &(LeadView, Instant)| {
-            known.term > view.term && now - *heard < LEAD_VIEW_LAPSE
+        let newer = |(known, last_contact): &(LeadView, Instant)| {
+            known.term > view.term && now - *last_contact < LEAD_VIEW_TIMEOUT
         };
         if self.lead.as_ref().is_some_and(newer) {
             return false;
@@ -359,18 +362,18 @@
     }
 
     /// Extends the current view if its lead, given by `term`, still leads.
-    pub(crate) fn hear_lead(&mut self, term: Revision, now: Instant) {
-        if let Some((view, heard)) = &mut self.lead
+    pub(crate) fn extend_lead(&mut self, term: Revision, now: Instant) {
+        if let Some((view, last_contact)) = &mut self.lead
             && view.term == term
         {
-            *heard = now;
+            *last_contact = now;
         }
     }
 
     /// Returns the lead's last view, if it is fresh, and the lead's last contact.
     pub(crate) fn lead(&self, now: Instant) -> Option<(&LeadView, Instant)> {
-        let (view, heard) = self.lead.as_ref()?;
-        (now - *heard < LEAD_VIEW_LAPSE).then_some((view, *heard))
+        let (view, last_contact) = self.lead.as_ref()?;
+        (now - *last_contact < LEAD_VIEW_TIMEOUT).then_some((view, *last_contact))
     }
 
     /// Returns the lead's view of an engine, if it is fresh.
--- a/crates/gateway/src/process/peers/mod.rs
+++ b/crates/gateway/src/process/peers/mod.rs
@@ -1,14 +1,14 @@
 //! Messages between gateways, and the state of the fleet that is derived from them.
 
-mod beliefs;
 mod catch_up;
+mod fleet_state;
 mod peer_message;
 #[allow(clippy::module_inception)]
 mod peers;
-mod recent_news;
+mod recent_updates;
 mod registration;
 
-pub(crate) use beliefs::*;
 pub(crate) use catch_up::HANDOVER_PATH;
+pub(crate) use fleet_state::*;
 pub(crate) use peer_message::*;
 pub(crate) use peers::Peers;
--- a/crates/gateway/src/process/peers/peers.rs
+++ b/crates/gateway/src/process/peers/peers.rs
@@ -15,17 +15,17 @@
 
 /// Interval between messages to the other gateways. At 15 requests a second, loads that are 100 ms old are off
 /// by one or two streams.
-pub(super) const TELL_INTERVAL: Duration = Duration::from_millis(100);
+pub(super) const SEND_INTERVAL: Duration = Duration::from_millis(100);
 /// Number of gateways above which the send interval grows: the number of messages is quadratic in it, and
 /// messages between data centres have a cost.
 const MANY_GATEWAYS: u32 = 12;
 /// Upper bound of the send interval: a silent lead is replaced after a second.
-const TELL_INTERVAL_MOST: Duration = Duration::from_millis(250);
+const MAX_SEND_INTERVAL: Duration = Duration::from_millis(250);
 /// Interval at which the lead repeats an unchanged view, for gateways that missed the last message.
 const VIEW_INTERVAL: Duration = Duration::from_millis(700);
 /// Maximum number of senders of unreadable messages to remember, so that each is logged once: more than a fleet
 /// has gateways.
-const MAX_TOLD_UNREADABLE: usize = 1_024;
+const MAX_LOGGED_UNREADABLE: usize = 1_024;
 /// Largest datagram, in bytes.
 const MAX_DATAGRAM: usize = 60_000;
 
@@ -35,7 +35,7 @@
     pub(super) socket: UdpSocket,
     pub(super) sequence: Cell<u64>,
     /// The view that this gateway last sent as the lead, and when.
-    pub(super) told_view: RefCell<Option<(LeadView, Instant)>>,
+    pub(super) sent_view: RefCell<Option<(LeadView, Instant)>>,
     /// Peer addresses of the gateways that are registered in the store.
     pub(super) registered: RefCell<HashSet<SocketAddr>>,
     /// This gateway's view of the engines while it is the lead.
@@ -43,7 +43,7 @@
     /// Chooses the gateway to catch up from.
     pub(super) sources: RefCell<NewsSources>,
     /// Senders whose unreadable messages have been logged.
-    told_unreadable: RefCell<HashSet<SocketAddr>>,
+    logged_unreadable: RefCell<HashSet<SocketAddr>>,
 }
 
 impl Peers {
@@ -56,28 +56,28 @@
             gateway,
             socket,
             sequence: Cell::new(0),
-            told_view: RefCell::default(),
+            sent_view: RefCell::default(),
             registered: RefCell::default(),
             own_view,
             sources: RefCell::default(),
-            told_unreadable: RefCell::default(),
+            logged_unreadable: RefCell::default(),
         }
     }
 
     /// Sends messages to the other gateways, indefinitely.
-    pub(crate) async fn tell(self: Rc<Self>) {
+    pub(crate) async fn send_messages(self: Rc<Self>) {
         loop {
-            self.tell_once();
+            self.send_to_all();
             self.take_loads();
             let gateways = self.gateway.beliefs.borrow().gateways(Instant::now()) as u32;
-            let interval = TELL_INTERVAL * gateways / MANY_GATEWAYS;
-            let interval = interval.clamp(TELL_INTERVAL, TELL_INTERVAL_MOST);
+            let interval = SEND_INTERVAL * gateways / MANY_GATEWAYS;
+            let interval = interval.clamp(SEND_INTERVAL, MAX_SEND_INTERVAL);
             // A new suspicion is sent at once, so that the others needn't probe the endpoint themselves.
             let _ = timeout(interval, self.gateway.suspected.notified()).await;
         }
     }
 
-    fn tell_once(&self) {
+    fn send_to_all(&self) {
         let message = self.message();
         let Ok(buf) = message.encode() else { return };
         for addr in self.targets() {
@@ -91,16 +91,16 @@
         self.sequence.set(self.sequence.get() + 1);
         let now = Instant::now();
         let suspects = gateway.beliefs.borrow_mut().suspects_own(now);
-        let leaving = gateway.beliefs.borrow_mut().leaving_own(now);
-        let ended = gateway.beliefs.borrow_mut().ended_own(now);
-        let left = gateway.beliefs.borrow_mut().left_own(now);
+        let leaving = gateway.beliefs.borrow_mut().own_leaving(now);
+        let ended = gateway.beliefs.borrow_mut().own_ended(now);
+        let left = gateway.beliefs.borrow_mut().own_left(now);
         let own_loads = gateway.paths.borrow().own_loads();
         let load = |(head, load): (Incarnation, Load)| HeadLoad {
             head,
             tokens: load.tokens.max(0.0) as u32,
             streams: load.streams,
         };
-        let heard_ms = |kind| gateway.store_heard.age_ms(kind, now).map(|ms| ms as u32);
+        let store_age_ms = |kind| gateway.store_heard.age_ms(kind, now).map(|ms| ms as u32);
         PeerMessage {
             instance: gateway.settings.instance.clone(),
             incarnation: gateway.incarnation,
@@ -109,8 +109,8 @@
             sequence: self.sequence.get(),
             store_era: gateway.eras.known(),
             known: gateway.knowledge.borrow().known(),
-            configuration_heard_ms: heard_ms(Kind::Configuration),
-            endpoints_heard_ms: heard_ms(Kind::Endpoints),
+            configuration_heard_ms: store_age_ms(Kind::Configuration),
+            endpoints_heard_ms: store_age_ms(Kind::Endpoints),
             loads: own_loads.into_iter().map(load).collect(),
             suspects,
             leaving,
@@ -118,20 +118,20 @@
             left,
             left_before_era: gateway.knowledge.borrow().left_before_era(now.into_std()),
             lead_term: self.own_view.borrow().as_ref().map(|view| view.term),
-            lead: self.view_to_tell(now),
+            lead: self.view_to_send(now),
         }
     }
 
     /// Returns the lead's view if it changed or wasn't sent for [`VIEW_INTERVAL`].
-    fn view_to_tell(&self, now: Instant) -> Option<LeadView> {
+    fn view_to_send(&self, now: Instant) -> Option<LeadView> {
         let view = self.own_view.borrow().clone()?;
-        let mut told = self.told_view.borrow_mut();
-        let is_told =
+        let mut sent = self.sent_view.borrow_mut();
+        let is_sent =
             |(before, at): &(LeadView, Instant)| *before == view && now - *at < VIEW_INTERVAL;
-        if told.as_ref().is_some_and(is_told) {
+        if sent.as_ref().is_some_and(is_sent) {
             return None;
         }
-        *told = Some((view.clone(), now));
+        *sent = Some((view.clone(), now));
         Some(view)
     }
 
@@ -150,10 +150,10 @@
         let now = Instant::now();
         let mut loads: HashMap<Incarnation, Load> = HashMap::new();
         for peer in self.gateway.beliefs.borrow().live_peers(now) {
-            for told in &peer.message.loads {
-                let load = loads.entry(told.head.clone()).or_default();
-                load.tokens += f64::from(told.tokens);
-                load.streams += told.streams;
+            for reported in &peer.message.loads {
+                let load = loads.entry(reported.head.clone()).or_default();
+                load.tokens += f64::from(reported.tokens);
+                load.streams += reported.streams;
             }
         }
         self.gateway.paths.borrow_mut().set_peer_loads(loads);
@@ -168,7 +168,7 @@
                 Err(err) => {
                     let text = err.to_string();
                     warn!("failed to receive a message from a gateway", kv: { err = text.as_str() });
-                    sleep(TELL_INTERVAL).await;
+                    sleep(SEND_INTERVAL).await;
                 }
             }
         }
@@ -187,8 +187,8 @@
     /// Logs each sender once: during an upgrade some gateways use another message format.
     fn on_unreadable(&self, unreadable: Unreadable, from: SocketAddr) {
         self.gateway.counters.add(Count::PeerMessagesBad);
-        let mut told = self.told_unreadable.borrow_mut();
-        if told.len() < MAX_TOLD_UNREADABLE && told.insert(from) {
+        let mut logged = self.logged_unreadable.borrow_mut();
+        if logged.len() < MAX_LOGGED_UNREADABLE && logged.insert(from) {
             let from = from.to_string();
             warn!("unreadable message from a gateway", kv: {
                 from = from.as_str(), why:? = unreadable
@@ -219,20 +219,20 @@
         let has_new_suspects = message.suspects.iter().any(|report| !reported.contains(report));
         let mut is_changed = false;
         if let Some(term) = message.lead_term {
-            beliefs.hear_lead(term, now);
+            beliefs.extend_lead(term, now);
         }
         if let Some(view) = &message.lead {
             let known = beliefs.lead(now);
             is_changed = known.is_none_or(|(known, _)| known.engines != view.engines);
             is_changed &= beliefs.apply_lead(view.clone(), now);
         }
-        let told = message.leaving.iter();
-        let told = told
+        let leaving = message.leaving.iter();
+        let leaving = leaving
             .filter(|incarnation| !beliefs.is_leaving(incarnation, now))
             .cloned()
             .collect::<Vec<_>>();
-        for incarnation in &told {
-            beliefs.hear_leaving(incarnation, now);
+        for incarnation in &leaving {
+            beliefs.add_reported_leaving(incarnation, now);
             info!("endpoint reported that it is leaving", kv: {
                 endpoint = incarnation.id.as_str(), source = message.instance.as_str()
             });
@@ -242,7 +242,7 @@
         let (ended, left) = (message.ended.clone(), message.left.clone());
         let (era, left_before_era) =
             (message.known.endpoints_at.era, message.left_before_era.clone());
-        beliefs.peers.insert(instance.clone(), Peer { addr: from, message, heard: now });
+        beliefs.peers.insert(instance.clone(), Peer { addr: from, message, last_contact: now });
         drop(beliefs);
         for end in &ended {
             gateway.hear_end(end, &instance);
@@ -255,9 +255,9 @@
             gateway.refresh_paths();
         }
         if has_new_suspects {
-            gateway.take_reported_failures();
+            gateway.apply_reported_failures();
         }
-        if has_new_suspects || !told.is_empty() {
+        if has_new_suspects || !leaving.is_empty() {
             gateway.engines_changed.notify_waiters();
         }
     }
--- a/crates/gateway/src/process/peers/registration.rs
+++ b/crates/gateway/src/process/peers/registration.rs
@@ -17,7 +17,7 @@
 /// Time after which, in a new era of the store, all gateways that reach it have written their objects again.
 const ALL_REGISTERED_WITHIN: Duration = Duration::from_secs(15);
 /// Delay after a failed write or list of gateways.
-const REGISTER_RETRY: Duration = Duration::from_millis(1_000);
+const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
 /// The object of a gateway in the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -34,19 +34,19 @@
         loop {
             self.gateway.counters.add(Count::StoreCalls);
             match self.register_once(&store, &mut written_in).await {
-                Ok(()) => self.rest_until_list(written_in.unwrap_or_default()).await,
+                Ok(()) => self.wait_for_next_list(written_in.unwrap_or_default()).await,
                 Err(err) => {
                     self.gateway.on_store_failed(&err);
                     let text = err.to_string();
                     warn!("gateways not read from the store", kv: { err = text.as_str() });
-                    sleep(REGISTER_RETRY).await;
+                    sleep(REGISTER_RETRY_DELAY).await;
                 }
             }
         }
     }
 
     /// Waits until the next list is due: [`LIST_INTERVAL`], or this gateway's turn once an era after `era` has begun.
-    async fn rest_until_list(&self, era: StoreEra) {
+    async fn wait_for_next_list(&self, era: StoreEra) {
         tokio::select! {
             () = sleep(LIST_INTERVAL) => {}
             () = self.gateway.newer_era(era) => sleep(self.gateway.list_turn()).await,
@@ -61,8 +61,8 @@
         written_in: &mut Option<StoreEra>,
     ) -> Result<(), StoreError> {
         if *written_in != Some(self.gateway.eras.known()) {
-            let is_again = written_in.is_some();
-            *written_in = Some(self.write_own(store, is_again).await?);
+            let is_rewrite = written_in.is_some();
+            *written_in = Some(self.write_own(store, is_rewrite).await?);
         }
         let listing = store.list(Kind::Gateways).await?;
         self.gateway.refuse_nameless(&listing.nameless, "Gateways");
@@ -78,7 +78,7 @@
     }
 
     /// Writes this gateway's object unless the store already has the same. Returns the era of the stored object.
-    async fn write_own(&self, store: &Store, is_again: bool) -> Result<StoreEra, StoreError> {
+    async fn write_own(&self, store: &Store, is_rewrite: bool) -> Result<StoreEra, StoreError> {
         let name = &self.gateway.settings.instance;
         let own = Registration { addr: self.own_addr(), incarnation: self.gateway.incarnation };
         let written = match store.create(Kind::Gateways, name, &own).await {
@@ -91,7 +91,7 @@
             }
             other => other?,
         };
-        if is_again {
+        if is_rewrite {
             self.gateway.note_rewritten(Kind::Gateways, name);
         }
         Ok(written.era)
--- a/crates/gateway/src/process/pool.rs
+++ b/crates/gateway/src/process/pool.rs
@@ -61,9 +61,9 @@
         now: Instant,
     ) -> Option<Connection> {
         let idle = self.idle.get_mut(incarnation)?;
-        let most = if may_repeat { IDLE_LIMIT } else { IDLE_LIMIT_ONCE };
+        let max_idle_time = if may_repeat { IDLE_LIMIT } else { IDLE_LIMIT_ONCE };
         while let Some(connection) = idle.pop() {
-            let is_fresh = now - connection.idle_since < connection.idle_limit.min(most);
+            let is_fresh = now - connection.idle_since < connection.idle_limit.min(max_idle_time);
             if is_fresh && connection.addr == addr && connection.sender.is_ready() {
                 return Some(connection);
             }
@@ -82,8 +82,8 @@
         if answer.closes {
             return;
         }
-        let told = answer.keep_alive.map(|limit| limit.saturating_sub(IDLE_MARGIN));
-        connection.idle_limit = told.unwrap_or(IDLE_LIMIT).min(IDLE_LIMIT);
+        let announced = answer.keep_alive.map(|limit| limit.saturating_sub(IDLE_MARGIN));
+        connection.idle_limit = announced.unwrap_or(IDLE_LIMIT).min(IDLE_LIMIT);
         connection.idle_since = now;
         let idle = self.idle.entry(incarnation).or_default();
         if idle.len() < MAX_IDLE {
@@ -120,8 +120,8 @@
     let stream = stream.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
     let mut builder = Builder::new();
     builder.max_buf_size(READ_BUF_BYTES);
-    let hands = builder.handshake(TokioIo::new(stream)).await;
-    let (sender, connection) = hands.map_err(io::Error::other)?;
+    let connected = builder.handshake(TokioIo::new(stream)).await;
+    let (sender, connection) = connected.map_err(io::Error::other)?;
     let driver = tokio::task::spawn_local(async move {
         // Errors surface at the request.
         let _ = connection.await;
--- a/crates/gateway/src/process/questions.rs
+++ b/crates/gateway/src/process/queries.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 /// Maximum number of queries before the endpoint is left to the other gateways and the lead, which query it too.
-const MOST_ASKED: u32 = 6;
+const MAX_QUERIES: u32 = 6;
 
 /// Why a query got no answer.
 pub(crate) enum Unanswered {
@@ -24,17 +24,17 @@
         &self,
         client: &Client,
         limit: Duration,
-        question: impl AsyncFn(Duration) -> Result<T, CallError>,
+        send_query: impl AsyncFn(Duration) -> Result<T, CallError>,
     ) -> Result<T, Unanswered> {
         let mut silence = PeerSilence::new(limit);
         // A kept connection may be silent or just closed although the endpoint is alive. The next query goes over
         // another connection and decides, so the first one gets half the timeout.
         let has_kept = client.has_idle();
-        for nth in 0..MOST_ASKED {
+        for nth in 0..MAX_QUERIES {
             self.counters.add(Count::Reports);
             let asked = Instant::now();
             let is_on_kept = has_kept && nth == 0;
-            match question(if is_on_kept { limit / 2 } else { limit }).await {
+            match send_query(if is_on_kept { limit / 2 } else { limit }).await {
                 Ok(answer) => return Ok(answer),
                 Err(CallError::NoAnswer { .. }) if nth == 0 => continue,
                 Err(err) if is_on_kept && err.silence().is_some() => continue,
--- a/crates/gateway/src/process/retry_budgets.rs
+++ b/crates/gateway/src/process/retry_budgets.rs
@@ -28,8 +28,8 @@
         let gateways = self.beliefs.borrow().gateways(now);
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.get_mut(service);
-        let paid = budget.is_some_and(|budget| budget.try_spend(now.into_std(), gateways));
-        self.counters.add(if paid { Count::Repeats } else { Count::BudgetRefusals });
-        paid
+        let is_granted = budget.is_some_and(|budget| budget.try_spend(now.into_std(), gateways));
+        self.counters.add(if is_granted { Count::Repeats } else { Count::BudgetRefusals });
+        is_granted
     }
 }
--- a/crates/gateway/src/process/run.rs
+++ b/crates/gateway/src/process/run.rs
@@ -4,7 +4,7 @@
 use crate::process::placer::Placer;
 use crate::process::{
     Count, Gateway, Peers, Phase, expire_entries, follow, follow_eras, measure_lag,
-    serve_side_pages, set_up_log, watch_paths,
+    serve_internal_pages, set_up_log, watch_paths,
 };
 use sorrellock_http::listen;
 use sorrellock_platform::{Kind, Limits, Settings, Store, parse_settings};
@@ -30,7 +30,7 @@
 /// Interval at which expired connections and state are removed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// Interval at which the settings file is checked for changes made without a signal.
-const SETTINGS_LOOK: Duration = Duration::from_secs(2);
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 /// Time from SIGTERM until idle connections are closed: by then load balancers mostly send elsewhere, and callers have
 /// got their next answer with the notice that the connection closes.
 const CLOSE_IDLE_AFTER: Duration = Duration::from_millis(3_000);
@@ -40,7 +40,7 @@
 const END_TICK: Duration = Duration::from_millis(50);
 /// Maximum part of the margin for the answers of abandoned requests. They are a few hundred bytes each, but a process
 /// with a tenth of a core may have a hundred of them.
-const LAST_ANSWERS_MOST: Duration = Duration::from_millis(350);
+const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_millis(350);
 /// Interval at which the shutdown checks whether they are written; meanwhile all tasks that can make progress run.
 const LAST_ANSWERS_TICK: Duration = Duration::from_millis(10);
 /// Port of the metrics page, which the deployment's file also names.
@@ -143,7 +143,7 @@
     tasks.spawn_local(measure_lag(Rc::clone(&gateway)));
     tasks.spawn_local(sweep(Rc::clone(&gateway)));
     tasks.spawn_local(watch_paths(Rc::clone(&gateway)));
-    follow_signals(&gateway, path, signals, tasks).await
+    handle_signals(&gateway, path, signals, tasks).await
 }
 
 fn start_listeners(gateway: &Rc<Gateway>, tasks: &mut JoinSet<()>) -> Result<(), StartError> {
@@ -156,7 +156,7 @@
         SocketAddr::new(settings.ip, settings.peer_port),
         SocketAddr::new(settings.ip, METRICS_PORT),
     ] {
-        tasks.spawn_local(serve_side_pages(Rc::clone(gateway), bound(addr)?));
+        tasks.spawn_local(serve_internal_pages(Rc::clone(gateway), bound(addr)?));
     }
     tasks.spawn_local(accept_callers(Rc::clone(gateway), callers));
     Ok(())
@@ -181,7 +181,7 @@
     tasks.spawn_local(Rc::clone(&peers).register(store.clone()));
     tasks.spawn_local(Rc::clone(&peers).listen());
     tasks.spawn_local(Rc::clone(&peers).catch_up());
-    tasks.spawn_local(peers.tell());
+    tasks.spawn_local(peers.send_messages());
     tasks.spawn_local(Placer::new(Rc::clone(gateway), own_view).run(store));
     Ok(())
 }
@@ -207,7 +207,7 @@
     }
 }
 
-async fn follow_signals(
+async fn handle_signals(
     gateway: &Rc<Gateway>,
     path: &Path,
     mut signals: Signals,
@@ -215,18 +215,18 @@
 ) -> Result<(), StartError> {
     let mut known = std::fs::read(path).ok();
     loop {
-        let is_told = tokio::select! {
+        let is_signalled = tokio::select! {
             _ = signals.terminate.recv() => break,
             _ = signals.hang_up.recv() => true,
-            () = sleep(SETTINGS_LOOK) => false,
+            () = sleep(SETTINGS_POLL_INTERVAL) => false,
             Some(ended) = tasks.join_next() => {
                 let how = ended.map_or_else(|err| err.to_string(), |()| "in order".to_owned());
                 return Err(StartError::TaskEnded(how));
             }
         };
         let now = std::fs::read(path).ok();
-        if is_told || now != known {
-            read_settings_again(gateway, path);
+        if is_signalled || now != known {
+            reload_settings(gateway, path);
         }
         known = now;
     }
@@ -235,7 +235,7 @@
 }
 
 /// Reloads the settings file: bounds take effect at once, the rest after a restart.
-fn read_settings_again(gateway: &Gateway, path: &Path) {
+fn reload_settings(gateway: &Gateway, path: &Path) {
     let settings = match read_settings(path) {
         Ok(settings) => settings,
         Err(err) => {
@@ -260,22 +260,22 @@
     let began = Instant::now();
     let in_flight = gateway.in_flight.get();
     info!("gateway leaving", kv: { in_flight });
-    let most = gateway.bounds.get().grace.saturating_sub(END_MARGIN);
+    let max_wait = gateway.bounds.get().grace.saturating_sub(END_MARGIN);
     gateway
         .leaving
-        .set(Some(Leaving { signalled: began.into_std(), ends: (began + most).into_std() }));
+        .set(Some(Leaving { signalled: began.into_std(), ends: (began + max_wait).into_std() }));
     gateway.phase.send_replace(Phase::Leaving);
-    while began.elapsed() < most && !is_done(gateway) {
+    while began.elapsed() < max_wait && !is_done(gateway) {
         if began.elapsed() >= CLOSE_IDLE_AFTER {
-            gateway.reach(Phase::Closing);
+            gateway.advance_phase(Phase::Closing);
         }
         sleep(END_TICK).await;
     }
     if !is_done(gateway) {
-        gateway.reach(Phase::Ending);
+        gateway.advance_phase(Phase::Ending);
         write_last_answers(gateway).await;
     }
-    gateway.reach(Phase::Ended);
+    gateway.advance_phase(Phase::Ended);
     let in_flight = gateway.in_flight.get();
     let answering = gateway.answering.get();
     let refused = gateway.counters.get(Count::RefusedLeaving);
@@ -287,7 +287,7 @@
 /// Waits until requests without an answer have got their final one. A fixed pause isn't enough: this function is polled
 /// before the requests' own tasks, and a late process might end with none of them polled.
 async fn write_last_answers(gateway: &Gateway) {
-    let until = Instant::now() + LAST_ANSWERS_MOST;
+    let until = Instant::now() + LAST_ANSWERS_TIMEOUT;
     while gateway.unanswered.get() > 0 && Instant::now() < until {
         sleep(LAST_ANSWERS_TICK).await;
     }
