--- a/crates/gateway/src/process/gateway.rs
+++ b/crates/gateway/src/process/gateway.rs
@@ -1,7 +1,7 @@
 //! State shared by all parts of a gateway.
 
 use crate::process::{
-    Beliefs, Count, Counters, LivePath, PathTable, Pool, ReportedSuspect, SUSPICION_DURATION,
+    Count, Counters, FleetState, LivePath, PathTable, Pool, ReportedSuspect, SUSPICION_DURATION,
     StoreHeard, ToldFaults,
 };
 use sorrellock_core::clock::SystemClock;
@@ -62,7 +62,7 @@
     /// Recent pauses of the event loop.
     pub(crate) pauses: RefCell<LoopPauses>,
     pub(crate) knowledge: RefCell<Knowledge>,
-    pub(crate) beliefs: RefCell<Beliefs>,
+    pub(crate) beliefs: RefCell<FleetState>,
     /// The current incarnation of each endpoint.
     pub(crate) incarnations: RefCell<Incarnations>,
     /// Faults of objects in the store that have been logged.
--- a/crates/gateway/src/process/peers/fleet_state.rs
+++ b/crates/gateway/src/process/peers/fleet_state.rs
@@ -120,7 +120,7 @@
 
 /// Live state of engines and other gateways, beyond what the store holds.
 #[derive(Default)]
-pub(crate) struct Beliefs {
+pub(crate) struct FleetState {
     /// The other gateways, by instance name.
     pub(crate) peers: HashMap<String, Peer>,
     /// Number of gateways registered in the store, this one included.
@@ -140,7 +140,7 @@
     lead_index: HashMap<Incarnation, usize>,
 }
 
-impl Beliefs {
+impl FleetState {
     /// Returns the other gateways that sent a message recently.
     pub(crate) fn live_peers(&self, now: Instant) -> impl Iterator<Item = &Peer> {
         self.peers.values().filter(move |peer| now - peer.last_contact < PEER_TIMEOUT)
