--- a/crates/gateway/src/process/dump.rs
+++ b/crates/gateway/src/process/dump.rs
@@ -124,7 +124,7 @@
             configuration_heard_ms: gateway.store_heard.age_ms(Kind::Configuration, now),
             endpoints_heard_ms: gateway.store_heard.age_ms(Kind::Endpoints, now),
             lead: lead(gateway, now),
-            budget_gateways: gateway.beliefs.borrow().gateways(now),
+            budget_gateways: gateway.fleet_state.borrow().gateways(now),
             gateways: bounded(gateways(gateway, now).into_iter(), &mut left_out),
             endpoints: bounded(endpoints, &mut left_out),
             refused_by_reason,
@@ -156,16 +156,16 @@
 }
 
 fn lead(gateway: &Gateway, now: Instant) -> Option<LeadDump> {
-    let beliefs = gateway.beliefs.borrow();
-    let (view, heard) = beliefs.lead(now)?;
+    let fleet_state = gateway.fleet_state.borrow();
+    let (view, heard) = fleet_state.lead(now)?;
     let Revision { era, count } = view.term;
     let (is_own, heard_ms) = (gateway.leads.get(), millis(heard, now));
     Some(LeadDump { is_own, term: count, era, heard_ms })
 }
 
 fn gateways(gateway: &Gateway, now: Instant) -> Vec<GatewayDump> {
-    let beliefs = gateway.beliefs.borrow();
-    let live = beliefs.live_peers(now).map(|peer| GatewayDump {
+    let fleet_state = gateway.fleet_state.borrow();
+    let live = fleet_state.live_peers(now).map(|peer| GatewayDump {
         instance: peer.message.instance.clone(),
         addr: peer.addr,
         heard_ms: millis(peer.last_contact, now),
--- a/crates/gateway/src/process/gateway.rs
+++ b/crates/gateway/src/process/gateway.rs
@@ -62,7 +62,7 @@
     /// Recent pauses of the event loop.
     pub(crate) pauses: RefCell<LoopPauses>,
     pub(crate) knowledge: RefCell<Knowledge>,
-    pub(crate) beliefs: RefCell<FleetState>,
+    pub(crate) fleet_state: RefCell<FleetState>,
     /// The current incarnation of each endpoint.
     pub(crate) incarnations: RefCell<Incarnations>,
     /// Faults of objects in the store that have been logged.
@@ -117,7 +117,7 @@
             counters: Counters::new(),
             pauses: RefCell::default(),
             knowledge,
-            beliefs: RefCell::default(),
+            fleet_state: RefCell::default(),
             incarnations: RefCell::default(),
             told_faults: RefCell::default(),
             paths: Rc::default(),
@@ -172,8 +172,8 @@
     /// of all gateways.
     pub(crate) fn come_back(&self, now: Instant) -> Duration {
         let Some(leaving) = self.leaving.get() else { return Duration::ZERO };
-        let beliefs = self.beliefs.borrow();
-        let (near, elsewhere) = beliefs.ready_in(&self.settings.data_centre, now);
+        let fleet_state = self.fleet_state.borrow();
+        let (near, elsewhere) = fleet_state.ready_in(&self.settings.data_centre, now);
         leaving.come_back(&near, &elsewhere, now.into_std())
     }
 
@@ -255,7 +255,7 @@
     /// Suspects an endpoint that failed an attempt, so that it gets no new work for a while.
     pub(crate) fn suspect(&self, incarnation: &Incarnation, evidence: FailureEvidence, why: &str) {
         let now = Instant::now();
-        if self.beliefs.borrow_mut().suspect(incarnation, evidence, now, SUSPICION_DURATION) {
+        if self.fleet_state.borrow_mut().suspect(incarnation, evidence, now, SUSPICION_DURATION) {
             warn!("endpoint suspected", kv: { endpoint = incarnation.id.as_str(), evidence:?, why });
             self.refresh_paths();
             self.engines_changed.notify_waiters();
@@ -270,7 +270,7 @@
         let now = Instant::now();
         let mut broken = Vec::new();
         let mut applied = Vec::new();
-        for (report, instance) in self.beliefs.borrow().reported_suspects(now) {
+        for (report, instance) in self.fleet_state.borrow().reported_suspects(now) {
             let breaking = self.paths.borrow().breaking_by_report(report, now);
             if !breaking.is_empty() {
                 applied.push((report.clone(), instance.to_owned()));
@@ -288,8 +288,12 @@
     }
 
     fn apply_reported_suspect(&self, report: &ReportedSuspect, instance: &str, now: Instant) {
-        if self.beliefs.borrow_mut().add_reported_suspect(report, instance, now, SUSPICION_DURATION)
-        {
+        if self.fleet_state.borrow_mut().add_reported_suspect(
+            report,
+            instance,
+            now,
+            SUSPICION_DURATION,
+        ) {
             warn!("endpoint suspected", kv: {
                 endpoint = report.incarnation.id.as_str(), evidence:? = report.evidence,
                 why = "reported by another gateway", instance
@@ -300,7 +304,9 @@
     /// Records a sign of life of an endpoint, which refutes a suspicion that was wrong or is out of date.
     pub(crate) fn note_alive(&self, incarnation: &Incarnation, sign: &str) {
         let now = Instant::now();
-        let Some(suspicion) = self.beliefs.borrow_mut().refute(incarnation, now) else { return };
+        let Some(suspicion) = self.fleet_state.borrow_mut().refute(incarnation, now) else {
+            return;
+        };
         self.counters.add(Count::SuspicionsRefuted);
         let source = suspicion.source.to_string();
         info!("suspected endpoint is alive", kv: {
@@ -314,7 +320,7 @@
         let now = Instant::now();
         for part in &live.path.parts {
             self.note_alive(&part.incarnation, "an event");
-            self.beliefs.borrow_mut().withdraw(&part.incarnation, now);
+            self.fleet_state.borrow_mut().withdraw(&part.incarnation, now);
         }
         self.refresh_paths();
         self.engines_changed.notify_waiters();
@@ -326,12 +332,12 @@
         if self.has_ended(incarnation) || self.incarnations.borrow().is_over(incarnation) {
             return Some("ended".to_owned());
         }
-        let beliefs = self.beliefs.borrow();
-        if let Some(suspicion) = beliefs.suspicion(incarnation, now) {
+        let fleet_state = self.fleet_state.borrow();
+        if let Some(suspicion) = fleet_state.suspicion(incarnation, now) {
             let ms = (now - suspicion.since).as_millis();
             return Some(format!("suspected by {} for {ms} ms", suspicion.source));
         }
-        let is_dead = beliefs.engine(incarnation, now).is_some_and(|engine| engine.is_dead);
+        let is_dead = fleet_state.engine(incarnation, now).is_some_and(|engine| engine.is_dead);
         is_dead.then(|| "declared dead by the lead".to_owned())
     }
 
@@ -352,7 +358,7 @@
     /// Marks an endpoint as leaving after it reported to this gateway that it accepts no more requests.
     pub(crate) fn believe_leaving(&self, incarnation: &Incarnation) {
         let now = Instant::now();
-        if self.beliefs.borrow_mut().believe_leaving(incarnation, now) {
+        if self.fleet_state.borrow_mut().believe_leaving(incarnation, now) {
             let source = self.settings.instance.as_str();
             info!("endpoint reported that it is leaving", kv: {
                 endpoint = incarnation.id.as_str(), source
@@ -367,8 +373,8 @@
         if self.incarnations.borrow().is_over(incarnation) {
             return true;
         }
-        let beliefs = self.beliefs.borrow();
-        beliefs.engine(incarnation, Instant::now()).is_some_and(|engine| engine.is_dead)
+        let fleet_state = self.fleet_state.borrow();
+        fleet_state.engine(incarnation, Instant::now()).is_some_and(|engine| engine.is_dead)
     }
 
     /// Returns whether an incarnation has ended for good, or its endpoint is no longer known. One that the lead
@@ -381,7 +387,7 @@
     pub(crate) fn is_lost(&self, incarnation: &Incarnation) -> bool {
         self.has_ended(incarnation)
             || self.is_dead(incarnation)
-            || self.beliefs.borrow().is_suspect(incarnation, Instant::now())
+            || self.fleet_state.borrow().is_suspect(incarnation, Instant::now())
     }
 
     /// Returns whether this incarnation of an endpoint is the listed one.
--- a/crates/gateway/src/process/paths/path_check.rs
+++ b/crates/gateway/src/process/paths/path_check.rs
@@ -48,8 +48,8 @@
 fn is_turn(gateway: &Gateway, live: &LivePath, now: Instant) -> bool {
     let head = &live.path.first().incarnation;
     let data_centre = &live.path.data_centre;
-    let beliefs = gateway.beliefs.borrow();
-    let before = beliefs.probers_before(head, data_centre, gateway.incarnation, now);
+    let fleet_state = gateway.fleet_state.borrow();
+    let before = fleet_state.probers_before(head, data_centre, gateway.incarnation, now);
     live.is_idle(now, probe_delay(before))
 }
 
--- a/crates/gateway/src/process/paths/path_refresh.rs
+++ b/crates/gateway/src/process/paths/path_refresh.rs
@@ -18,10 +18,11 @@
         for service in knowledge.services(now.into_std()) {
             let Some(shape) = &service.model else { continue };
             let holders = self.holders(&knowledge, &service.name, shape, now);
-            let beliefs = self.beliefs.borrow();
+            let fleet_state = self.fleet_state.borrow();
             let incarnations = self.incarnations.borrow();
             let availability = |incarnation: &Incarnation| {
-                let is_dead = beliefs.engine(incarnation, now).is_some_and(|engine| engine.is_dead);
+                let is_dead =
+                    fleet_state.engine(incarnation, now).is_some_and(|engine| engine.is_dead);
                 if is_dead || incarnations.has_ended(incarnation) {
                     return EngineAvailability::Dead;
                 }
@@ -31,7 +32,7 @@
                         EngineAvailability::Dead
                     }
                     Some(endpoint)
-                        if !endpoint.is_leaving && !beliefs.is_leaving(incarnation, now) =>
+                        if !endpoint.is_leaving && !fleet_state.is_leaving(incarnation, now) =>
                     {
                         EngineAvailability::Available
                     }
@@ -73,22 +74,22 @@
         shape: &ModelShape,
         now: Instant,
     ) -> Vec<Holder> {
-        let beliefs = self.beliefs.borrow();
-        let has_lead = beliefs.lead(now).is_some();
+        let fleet_state = self.fleet_state.borrow();
+        let has_lead = fleet_state.lead(now).is_some();
         let mut holders = Vec::new();
         let engines =
             knowledge.open_endpoints(now.into_std()).filter(|engine| engine.service == service);
         for endpoint in engines {
             let incarnation = endpoint.incarnation();
-            if beliefs.is_leaving(&incarnation, now) || self.has_ended(&incarnation) {
+            if fleet_state.is_leaving(&incarnation, now) || self.has_ended(&incarnation) {
                 continue;
             }
-            let view = beliefs.engine(&incarnation, now);
+            let view = fleet_state.engine(&incarnation, now);
             // An engine that is missing from the lead's view is leaving, or holds no layers yet.
             let listed = if has_lead { LayerRange::default() } else { endpoint.layers };
             let layers = view.map_or(listed, |view| view.usable);
             let is_dead = view.is_some_and(|view| view.is_dead);
-            if is_dead || layers.is_empty() || beliefs.is_suspect(&incarnation, now) {
+            if is_dead || layers.is_empty() || fleet_state.is_suspect(&incarnation, now) {
                 continue;
             }
             let card = endpoint.card.as_deref().and_then(|card| shape.card(card));
--- a/crates/gateway/src/process/peers/catch_up.rs
+++ b/crates/gateway/src/process/peers/catch_up.rs
@@ -42,11 +42,11 @@
     fn ahead(&self) -> Option<(String, SocketAddr)> {
         let now = Instant::now();
         let own = self.gateway.knowledge.borrow().known();
-        let beliefs = self.gateway.beliefs.borrow();
-        let peers = beliefs.live_peers(now);
+        let fleet_state = self.gateway.fleet_state.borrow();
+        let peers = fleet_state.live_peers(now);
         let peers = peers.map(|peer| (peer.message.instance.as_str(), peer.message.known));
         let instance = self.sources.borrow_mut().choose(own, peers, now.into_std())?;
-        Some((instance.to_owned(), beliefs.peers.get(instance)?.addr))
+        Some((instance.to_owned(), fleet_state.peers.get(instance)?.addr))
     }
 
     async fn fetch(&self, instance: &str, addr: SocketAddr) {
--- a/crates/gateway/src/process/peers/peers.rs
+++ b/crates/gateway/src/process/peers/peers.rs
@@ -69,7 +69,7 @@
         loop {
             self.send_to_all();
             self.take_loads();
-            let gateways = self.gateway.beliefs.borrow().gateways(Instant::now()) as u32;
+            let gateways = self.gateway.fleet_state.borrow().gateways(Instant::now()) as u32;
             let interval = SEND_INTERVAL * gateways / MANY_GATEWAYS;
             let interval = interval.clamp(SEND_INTERVAL, MAX_SEND_INTERVAL);
             // A new suspicion is sent at once, so that the others needn't probe the endpoint themselves.
@@ -90,10 +90,10 @@
         let gateway = &self.gateway;
         self.sequence.set(self.sequence.get() + 1);
         let now = Instant::now();
-        let suspects = gateway.beliefs.borrow_mut().suspects_own(now);
-        let leaving = gateway.beliefs.borrow_mut().own_leaving(now);
-        let ended = gateway.beliefs.borrow_mut().own_ended(now);
-        let left = gateway.beliefs.borrow_mut().own_left(now);
+        let suspects = gateway.fleet_state.borrow_mut().suspects_own(now);
+        let leaving = gateway.fleet_state.borrow_mut().own_leaving(now);
+        let ended = gateway.fleet_state.borrow_mut().own_ended(now);
+        let left = gateway.fleet_state.borrow_mut().own_left(now);
         let own_loads = gateway.paths.borrow().own_loads();
         let load = |(head, load): (Incarnation, Load)| HeadLoad {
             head,
@@ -137,7 +137,7 @@
 
     fn targets(&self) -> HashSet<SocketAddr> {
         let mut targets = self.registered.borrow().clone();
-        targets.extend(self.gateway.beliefs.borrow().peers.values().map(|peer| peer.addr));
+        targets.extend(self.gateway.fleet_state.borrow().peers.values().map(|peer| peer.addr));
         targets.remove(&self.own_addr());
         targets
     }
@@ -149,7 +149,7 @@
     fn take_loads(&self) {
         let now = Instant::now();
         let mut loads: HashMap<Incarnation, Load> = HashMap::new();
-        for peer in self.gateway.beliefs.borrow().live_peers(now) {
+        for peer in self.gateway.fleet_state.borrow().live_peers(now) {
             for reported in &peer.message.loads {
                 let load = loads.entry(reported.head.clone()).or_default();
                 load.tokens += f64::from(reported.tokens);
@@ -200,8 +200,8 @@
         let gateway = &self.gateway;
         let now = Instant::now();
         gateway.eras.hear(message.store_era, &message.instance);
-        let mut beliefs = gateway.beliefs.borrow_mut();
-        let before = beliefs.peers.get(&message.instance);
+        let mut fleet_state = gateway.fleet_state.borrow_mut();
+        let before = fleet_state.peers.get(&message.instance);
         let is_old = before.is_some_and(|peer| {
             peer.message.incarnation == message.incarnation
                 && peer.message.sequence >= message.sequence
@@ -219,20 +219,20 @@
         let has_new_suspects = message.suspects.iter().any(|report| !reported.contains(report));
         let mut is_changed = false;
         if let Some(term) = message.lead_term {
-            beliefs.extend_lead(term, now);
+            fleet_state.extend_lead(term, now);
         }
         if let Some(view) = &message.lead {
-            let known = beliefs.lead(now);
+            let known = fleet_state.lead(now);
             is_changed = known.is_none_or(|(known, _)| known.engines != view.engines);
-            is_changed &= beliefs.apply_lead(view.clone(), now);
+            is_changed &= fleet_state.apply_lead(view.clone(), now);
         }
         let leaving = message.leaving.iter();
         let leaving = leaving
-            .filter(|incarnation| !beliefs.is_leaving(incarnation, now))
+            .filter(|incarnation| !fleet_state.is_leaving(incarnation, now))
             .cloned()
             .collect::<Vec<_>>();
         for incarnation in &leaving {
-            beliefs.add_reported_leaving(incarnation, now);
+            fleet_state.add_reported_leaving(incarnation, now);
             info!("endpoint reported that it is leaving", kv: {
                 endpoint = incarnation.id.as_str(), source = message.instance.as_str()
             });
@@ -242,8 +242,8 @@
         let (ended, left) = (message.ended.clone(), message.left.clone());
         let (era, left_before_era) =
             (message.known.endpoints_at.era, message.left_before_era.clone());
-        beliefs.peers.insert(instance.clone(), Peer { addr: from, message, last_contact: now });
-        drop(beliefs);
+        fleet_state.peers.insert(instance.clone(), Peer { addr: from, message, last_contact: now });
+        drop(fleet_state);
         for end in &ended {
             gateway.hear_end(end, &instance);
         }
--- a/crates/gateway/src/process/peers/registration.rs
+++ b/crates/gateway/src/process/peers/registration.rs
@@ -73,7 +73,7 @@
             addrs.extend(self.registered.borrow().iter());
         }
         *self.registered.borrow_mut() = addrs;
-        self.gateway.beliefs.borrow_mut().registered = self.registered.borrow().len();
+        self.gateway.fleet_state.borrow_mut().registered = self.registered.borrow().len();
         Ok(())
     }
 
--- a/crates/gateway/src/process/placer/lead.rs
+++ b/crates/gateway/src/process/placer/lead.rs
@@ -149,11 +149,11 @@
     /// Cut off from the store and from all other gateways, of which there are some: another one
     /// leads by now.
     fn is_isolated(&self) -> bool {
-        let beliefs = self.gateway.beliefs.borrow();
-        let is_alone = beliefs.live_peers(Instant::now()).next().is_none();
+        let fleet_state = self.gateway.fleet_state.borrow();
+        let is_alone = fleet_state.live_peers(Instant::now()).next().is_none();
         let failed = self.gateway.store_failed.get();
         let is_cut = failed.is_some_and(|failed| failed.elapsed() < ISOLATION_DOUBT);
-        is_alone && is_cut && beliefs.registered > 1
+        is_alone && is_cut && fleet_state.registered > 1
     }
 
     fn step_down(&mut self, why: &str) {
@@ -242,17 +242,17 @@
     }
 
     fn heard_term(&self) -> Option<Revision> {
-        let beliefs = self.gateway.beliefs.borrow();
-        beliefs.lead(Instant::now()).map(|(view, _)| view.term)
+        let fleet_state = self.gateway.fleet_state.borrow();
+        fleet_state.lead(Instant::now()).map(|(view, _)| view.term)
     }
 
     fn lead_heard(&self) -> Option<Instant> {
-        let beliefs = self.gateway.beliefs.borrow();
-        beliefs.lead(Instant::now()).map(|(_, heard)| heard)
+        let fleet_state = self.gateway.fleet_state.borrow();
+        fleet_state.lead(Instant::now()).map(|(_, heard)| heard)
     }
 
     /// How many live gateways come before this one, by name.
     fn rank(&self, now: Instant) -> u32 {
-        self.gateway.beliefs.borrow().rank(&self.gateway.settings.instance, now)
+        self.gateway.fleet_state.borrow().rank(&self.gateway.settings.instance, now)
     }
 }
--- a/crates/gateway/src/process/placer/placer.rs
+++ b/crates/gateway/src/process/placer/placer.rs
@@ -114,11 +114,11 @@
         let models = services.filter(|service| service.model.is_some());
         let names: HashSet<&ServiceName> = models.map(|service| &service.name).collect();
         let here = knowledge.endpoints().filter(|endpoint| names.contains(&endpoint.service));
-        let beliefs = self.gateway.beliefs.borrow();
+        let fleet_state = self.gateway.fleet_state.borrow();
         let stays = |e: &&Endpoint| {
             let incarnation = e.incarnation();
             !e.is_leaving
-                && !beliefs.is_leaving(&incarnation, now)
+                && !fleet_state.is_leaving(&incarnation, now)
                 && !self.gateway.has_ended(&incarnation)
         };
         let here: HashMap<Incarnation, SocketAddr> =
@@ -242,7 +242,7 @@
         let is_changed =
             self.own_view.borrow().as_ref().is_none_or(|old| old.engines != view.engines);
         *self.own_view.borrow_mut() = Some(view.clone());
-        self.gateway.beliefs.borrow_mut().apply_lead(view, Instant::now());
+        self.gateway.fleet_state.borrow_mut().apply_lead(view, Instant::now());
         if is_changed {
             self.gateway.refresh_paths();
         }
--- a/crates/gateway/src/process/retry_budgets.rs
+++ b/crates/gateway/src/process/retry_budgets.rs
@@ -17,7 +17,7 @@
     /// Returns whether the budget allows another send of a request after the first.
     pub(crate) fn may_repeat(&self, service: &str) -> bool {
         let now = Instant::now();
-        let gateways = self.beliefs.borrow().gateways(now);
+        let gateways = self.fleet_state.borrow().gateways(now);
         let mut budgets = self.budgets.borrow_mut();
         budgets.get_mut(service).is_some_and(|budget| budget.may_spend(now.into_std(), gateways))
     }
@@ -25,7 +25,7 @@
     /// Takes one send of a request after the first from the budget. Returns whether the budget allowed it.
     pub(crate) fn spend_repeat(&self, service: &str) -> bool {
         let now = Instant::now();
-        let gateways = self.beliefs.borrow().gateways(now);
+        let gateways = self.fleet_state.borrow().gateways(now);
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.get_mut(service);
         let is_granted = budget.is_some_and(|budget| budget.try_spend(now.into_std(), gateways));
--- a/crates/gateway/src/process/store/eras.rs
+++ b/crates/gateway/src/process/store/eras.rs
@@ -75,9 +75,9 @@
     /// How long this gateway leaves it to those before it to list anew in a new era.
     pub(crate) fn list_turn(&self) -> Duration {
         let now = Instant::now();
-        let beliefs = self.beliefs.borrow();
-        let rank = beliefs.rank(&self.settings.instance, now);
-        let count = beliefs.live_peers(now).count() as u32 + 1;
+        let fleet_state = self.fleet_state.borrow();
+        let rank = fleet_state.rank(&self.settings.instance, now);
+        let count = fleet_state.live_peers(now).count() as u32 + 1;
         list_turn(rank, count)
     }
 
--- a/crates/gateway/src/process/store/incarnations.rs
+++ b/crates/gateway/src/process/store/incarnations.rs
@@ -161,7 +161,7 @@
     /// Tells the other gateways at once that an incarnation is over for good.
     fn tell_end(&self, ended: Incarnation, successor: Option<StartMillis>) {
         let end = EndedIncarnation { ended, successor };
-        self.beliefs.borrow_mut().note_end(end, Instant::now());
+        self.fleet_state.borrow_mut().note_end(end, Instant::now());
         self.suspected.notify_one();
     }
 
--- a/crates/gateway/src/process/store/store_heard.rs
+++ b/crates/gateway/src/process/store/store_heard.rs
@@ -102,9 +102,9 @@
     /// How old this gateway's knowledge of a kind is: the time since the store told all that it had to this one, or to
     /// another one that is heard and knows nothing that this one doesn't.
     pub(crate) fn knowledge_age(&self, kind: Kind, now: Instant) -> Option<Duration> {
-        let beliefs = self.beliefs.borrow();
+        let fleet_state = self.fleet_state.borrow();
         let (era, known) = (self.eras.known(), self.knowledge.borrow().known());
-        let peers = beliefs.live_peers(now).filter(|peer| {
+        let peers = fleet_state.live_peers(now).filter(|peer| {
             peer.message.store_era == era && !is_ahead(kind, &peer.message.known, &known)
         });
         let told = peers.filter_map(|peer| peer.store_heard(kind, now));
--- a/crates/gateway/src/process/store/watch_sharing.rs
+++ b/crates/gateway/src/process/store/watch_sharing.rs
@@ -32,9 +32,9 @@
     /// This gateway's rank among those that are heard and watch the same.
     pub(super) fn rank(&self) -> Rank {
         let now = Instant::now();
-        let beliefs = self.gateway.beliefs.borrow();
-        let rank = beliefs.rank(&self.gateway.settings.instance, now);
-        let count = beliefs.live_peers(now).count() + 1;
+        let fleet_state = self.gateway.fleet_state.borrow();
+        let rank = fleet_state.rank(&self.gateway.settings.instance, now);
+        let count = fleet_state.live_peers(now).count() + 1;
         let is_shared = self.kind == Kind::Endpoints && count >= MANY_GATEWAYS;
         if is_shared { rank.min(WATCHERS) } else { rank }
     }
@@ -61,12 +61,12 @@
     fn may_leave_it(&self, at: Revision) -> (bool, usize) {
         let now = Instant::now();
         let gateway = &self.gateway;
-        let beliefs = gateway.beliefs.borrow();
-        let watchers = beliefs.watchers(WATCHER_FRESH, now);
+        let fleet_state = gateway.fleet_state.borrow();
+        let watchers = fleet_state.watchers(WATCHER_FRESH, now);
         let may_leave = at > Revision::default()
             && !gateway.leads.get()
-            && beliefs.gateways(now) >= MANY_GATEWAYS
-            && beliefs.rank(&gateway.settings.instance, now) >= WATCHERS
+            && fleet_state.gateways(now) >= MANY_GATEWAYS
+            && fleet_state.rank(&gateway.settings.instance, now) >= WATCHERS
             && watchers >= WATCHERS_LEAST
             && !self.is_too_old();
         (may_leave, watchers)
@@ -76,7 +76,7 @@
         if self.kind != Kind::Endpoints || self.gateway.leads.get() {
             return WATCH_PAUSE;
         }
-        let gateways = self.gateway.beliefs.borrow().gateways(Instant::now());
+        let gateways = self.gateway.fleet_state.borrow().gateways(Instant::now());
         let most = self.gateway.bounds.get().leave_within.mul_f64(WATCH_PAUSE_SHARE);
         let most = most.clamp(WATCH_PAUSE, WATCH_PAUSE_MOST);
         (WATCH_PAUSE_PER_GATEWAY * gateways as u32).clamp(WATCH_PAUSE, most)
--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -249,17 +249,17 @@
 fn choose(gateway: &Gateway, call: &Call, tried: &[Incarnation]) -> Option<(Endpoint, Permit)> {
     let now = Instant::now();
     let knowledge = gateway.knowledge.borrow();
-    let beliefs = gateway.beliefs.borrow();
+    let fleet_state = gateway.fleet_state.borrow();
     let mut open: Vec<&Endpoint> = knowledge
         .open_endpoints(now.into_std())
         .filter(|endpoint| endpoint.service == call.service)
-        .filter(|endpoint| !beliefs.is_leaving(&endpoint.incarnation(), now))
+        .filter(|endpoint| !fleet_state.is_leaving(&endpoint.incarnation(), now))
         .filter(|endpoint| !tried.contains(&endpoint.incarnation()))
         .filter(|endpoint| !gateway.has_ended(&endpoint.incarnation()))
         .collect();
     let work = |endpoint: &Endpoint| work(gateway, endpoint, now);
     open.sort_by(|a, b| {
-        let suspect = |endpoint: &Endpoint| beliefs.is_suspect(&endpoint.incarnation(), now);
+        let suspect = |endpoint: &Endpoint| fleet_state.is_suspect(&endpoint.incarnation(), now);
         suspect(a).cmp(&suspect(b)).then_with(|| work(a).total_cmp(&work(b)))
     });
     let mut breakers = gateway.breakers.borrow_mut();
