--- a/crates/gateway/src/process/peers/fleet_state.rs
+++ b/crates/gateway/src/process/peers/fleet_state.rs
@@ -309,7 +309,7 @@
 
     /// Returns the endpoints that this gateway suspects by its own evidence, as others send theirs themselves. Drops
     /// expired suspicions.
-    pub(crate) fn suspects_own(&mut self, now: Instant) -> Vec<ReportedSuspect> {
+    pub(crate) fn own_suspects(&mut self, now: Instant) -> Vec<ReportedSuspect> {
         self.suspects.retain(|_, suspect| suspect.until > now);
         let own = self.suspects.iter().filter(|(_, suspect)| suspect.is_own());
         let report = |(incarnation, suspect): (&Incarnation, &Suspicion)| ReportedSuspect {
--- a/crates/gateway/src/process/peers/peers.rs
+++ b/crates/gateway/src/process/peers/peers.rs
@@ -90,7 +90,7 @@
         let gateway = &self.gateway;
         self.sequence.set(self.sequence.get() + 1);
         let now = Instant::now();
-        let suspects = gateway.fleet_state.borrow_mut().suspects_own(now);
+        let suspects = gateway.fleet_state.borrow_mut().own_suspects(now);
         let leaving = gateway.fleet_state.borrow_mut().own_leaving(now);
         let ended = gateway.fleet_state.borrow_mut().own_ended(now);
         let left = gateway.fleet_state.borrow_mut().own_left(now);
--- a/crates/gateway/src/process/placer/reports.rs
+++ b/crates/gateway/src/process/placer/reports.rs
@@ -20,7 +20,7 @@
 /// Engines that any gateway suspects.
 pub(super) fn suspects(gateway: &Gateway, now: Instant) -> HashSet<Incarnation> {
     let mut fleet_state = gateway.fleet_state.borrow_mut();
-    let own = fleet_state.suspects_own(now).into_iter().map(|report| report.incarnation);
+    let own = fleet_state.own_suspects(now).into_iter().map(|report| report.incarnation);
     let mut all: HashSet<Incarnation> = own.collect();
     all.extend(fleet_state.reported_suspects(now).map(|(report, _)| report.incarnation.clone()));
     all
