--- a/crates/gateway/src/process/peers/fleet_state.rs
+++ b/crates/gateway/src/process/peers/fleet_state.rs
@@ -341,7 +341,7 @@
 
     /// Returns whether this gateway, given by its `incarnation`, is one of those that probe an endpoint on behalf of
     /// all.
-    pub(crate) fn asks_for_all(&self, id: &str, incarnation: u64, now: Instant) -> bool {
+    pub(crate) fn is_designated_prober(&self, id: &str, incarnation: u64, now: Instant) -> bool {
         let others = self.live_peers(now).map(|peer| peer.message.incarnation);
         let all = others.chain([incarnation]);
         rendezvous_several(id.as_bytes(), all, PROBERS_PER_ENDPOINT).contains(&incarnation)
--- a/crates/gateway/src/process/store/endpoint_check.rs
+++ b/crates/gateway/src/process/store/endpoint_check.rs
@@ -135,7 +135,7 @@
 /// lapsed may take to be back. One that gives no answer stays as long as that.
 pub(crate) fn check_lapsed(gateway: &Rc<Gateway>, id: &str) {
     let now = Instant::now();
-    if !gateway.fleet_state.borrow().asks_for_all(id, gateway.incarnation, now) {
+    if !gateway.fleet_state.borrow().is_designated_prober(id, gateway.incarnation, now) {
         return;
     }
     let found = {
