--- a/crates/gateway/src/process/gateway.rs
+++ b/crates/gateway/src/process/gateway.rs
@@ -356,9 +356,9 @@
     }
 
     /// Marks an endpoint as leaving after it reported to this gateway that it accepts no more requests.
-    pub(crate) fn believe_leaving(&self, incarnation: &Incarnation) {
+    pub(crate) fn mark_leaving(&self, incarnation: &Incarnation) {
         let now = Instant::now();
-        if self.fleet_state.borrow_mut().believe_leaving(incarnation, now) {
+        if self.fleet_state.borrow_mut().mark_leaving(incarnation, now) {
             let source = self.settings.instance.as_str();
             info!("endpoint reported that it is leaving", kv: {
                 endpoint = incarnation.id.as_str(), source
--- a/crates/gateway/src/process/peers/fleet_state.rs
+++ b/crates/gateway/src/process/peers/fleet_state.rs
@@ -276,7 +276,7 @@
     }
 
     /// Records an endpoint's own report that it accepts no more requests. Returns whether that is new.
-    pub(crate) fn believe_leaving(&mut self, incarnation: &Incarnation, now: Instant) -> bool {
+    pub(crate) fn mark_leaving(&mut self, incarnation: &Incarnation, now: Instant) -> bool {
         let is_new = !self.is_leaving(incarnation, now);
         let leaving = Leaving { until: now + LEAVING_REPORT_TIMEOUT, is_own: true };
         self.leaving.insert(incarnation.clone(), leaving);
--- a/crates/gateway/src/process/store/endpoint_check.rs
+++ b/crates/gateway/src/process/store/endpoint_check.rs
@@ -58,7 +58,7 @@
         match res {
             // One that refused a request just now lives.
             Ok(()) | Err(Unwell::OtherIncarnation | Unwell::Unknown | Unwell::Silent(_)) => {}
-            Err(Unwell::Leaves) => gateway.believe_leaving(&asked.incarnation),
+            Err(Unwell::Leaves) => gateway.mark_leaving(&asked.incarnation),
             Err(Unwell::Ended(why)) => {
                 gateway.suspect(&asked.incarnation, FailureEvidence::Refused, &why)
             }
