--- a/crates/gateway/src/process/paths/path_reservation.rs
+++ b/crates/gateway/src/process/paths/path_reservation.rs
@@ -7,13 +7,13 @@
 use tokio::time::Instant;
 
 /// A stream's reservation on a path. Dropping it frees the capacity.
-pub(crate) struct PathPlace {
+pub(crate) struct PathReservation {
     pub(crate) live: Rc<LivePath>,
     tokens: f64,
     freed: Rc<Notify>,
 }
 
-impl PathPlace {
+impl PathReservation {
     /// Moves the reservation to another path with the same first engine.
     pub(crate) fn move_to(&mut self, live: Rc<LivePath>, now: Instant) {
         self.live.remove_stream(self.tokens);
@@ -22,7 +22,7 @@
     }
 }
 
-impl Drop for PathPlace {
+impl Drop for PathReservation {
     fn drop(&mut self) {
         self.live.remove_stream(self.tokens);
         self.freed.notify_waiters();
@@ -37,9 +37,9 @@
     own_data_centre: &str,
     may_take: impl Fn(&Rc<LivePath>) -> bool,
     now: Instant,
-) -> Result<PathPlace, NoPlace> {
+) -> Result<PathReservation, NoPlace> {
     let live = table.borrow().choose(service, tokens, own_data_centre, may_take, now)?;
     live.add_stream(tokens, now);
     let freed = table.borrow().freed();
-    Ok(PathPlace { live, tokens, freed })
+    Ok(PathReservation { live, tokens, freed })
 }
--- a/crates/gateway/src/request/run.rs
+++ b/crates/gateway/src/request/run.rs
@@ -1,6 +1,6 @@
 //! A stream's run on a path of engines, and whether there is a place for one.
 
-use crate::process::{Gateway, LivePath, NoPlace, PathPlace, take_place};
+use crate::process::{Gateway, LivePath, NoPlace, PathReservation, take_place};
 use crate::request::expected::expected_tokens;
 use crate::request::{Begun, Call, Failed, Target, attempt};
 use http::Response;
@@ -18,7 +18,7 @@
 /// A stream that has begun on a path.
 pub(crate) struct Run {
     pub(crate) begun: Begun,
-    pub(crate) place: PathPlace,
+    pub(crate) place: PathReservation,
 }
 
 /// Why a stream did not begin.
@@ -42,7 +42,7 @@
     attempts: &Attempts,
     avoid: &[Rc<LivePath>],
     until: Instant,
-) -> Result<PathPlace, NoPlace> {
+) -> Result<PathReservation, NoPlace> {
     loop {
         let res = take_now(gateway, call, attempts, avoid);
         let Err(none) = res else { return res };
@@ -60,7 +60,7 @@
     call: &Call,
     attempts: &Attempts,
     avoid: &[Rc<LivePath>],
-) -> Result<PathPlace, NoPlace> {
+) -> Result<PathReservation, NoPlace> {
     let may_take = |live: &Rc<LivePath>| {
         attempts.may_send_to(&live.path.first().incarnation)
             && !avoid.iter().any(|other| Rc::ptr_eq(other, live))
@@ -96,7 +96,7 @@
 pub(super) async fn send(
     gateway: &Rc<Gateway>,
     call: &Call,
-    place: PathPlace,
+    place: PathReservation,
     last: Option<u64>,
 ) -> Result<Run, Failed> {
     let live = Rc::clone(&place.live);
--- a/crates/gateway/src/request/run_search.rs
+++ b/crates/gateway/src/request/run_search.rs
@@ -1,6 +1,6 @@
 //! Begins a stream's run on a path of engines, and on further ones while attempts may be made.
 
-use crate::process::{Gateway, LivePath, PathPlace, check_first, check_path, check_refuser};
+use crate::process::{Gateway, LivePath, PathReservation, check_first, check_path, check_refuser};
 use crate::request::run::{NotBegun, RETRY_AFTER_FULL, Run, place, send, take_now};
 use crate::request::{Call, Failed, RunningAttempts, give_up, log_failed, pass_on};
 use http::{Response, StatusCode};
@@ -151,7 +151,7 @@
     }
 
     /// A place for the next attempt, its retry paid.
-    async fn next_place(&mut self, room_until: Instant) -> Result<PathPlace, NotBegun> {
+    async fn next_place(&mut self, room_until: Instant) -> Result<PathReservation, NotBegun> {
         if self.call.time_left().is_zero() {
             return Err(NotBegun::TimeOver);
         }
@@ -168,7 +168,7 @@
     }
 
     /// The same for an attempt beside the only one; none where none may follow now.
-    fn place_beside(&mut self) -> Option<PathPlace> {
+    fn place_beside(&mut self) -> Option<PathReservation> {
         let (gateway, call) = (self.gateway, self.call);
         if gateway.is_ending() || !gateway.may_repeat(&call.service) {
             return None;
@@ -179,7 +179,7 @@
         gateway.spend_repeat(&call.service).then_some(place)
     }
 
-    fn on_sent(&mut self, place: &PathPlace) -> Sent {
+    fn on_sent(&mut self, place: &PathReservation) -> Sent {
         let now = Instant::now();
         self.attempts.on_sent(&place.live.path.first().incarnation);
         Sent { live: Rc::clone(&place.live), at: now, look_at: now, is_counted: false }
