--- a/crates/gateway/src/process/paths/path_reservation.rs
+++ b/crates/gateway/src/process/paths/path_reservation.rs
@@ -30,7 +30,7 @@
 }
 
 /// Reserves `tokens` on the path with the highest share of free capacity.
-pub(crate) fn take_place(
+pub(crate) fn reserve_path(
     table: &Rc<RefCell<PathTable>>,
     service: &str,
     tokens: f64,
--- a/crates/gateway/src/request/run.rs
+++ b/crates/gateway/src/request/run.rs
@@ -1,6 +1,6 @@
 //! A stream's run on a path of engines, and whether there is a place for one.
 
-use crate::process::{Gateway, LivePath, NoPlace, PathReservation, take_place};
+use crate::process::{Gateway, LivePath, NoPlace, PathReservation, reserve_path};
 use crate::request::expected::expected_tokens;
 use crate::request::{Begun, Call, Failed, Target, attempt};
 use http::Response;
@@ -67,7 +67,7 @@
     };
     let own = &gateway.settings.data_centre;
     let tokens = expected_tokens(call);
-    take_place(&gateway.paths, &call.service, tokens, own, may_take, Instant::now())
+    reserve_path(&gateway.paths, &call.service, tokens, own, may_take, Instant::now())
 }
 
 /// Whether a silent stream could go on over another path: else its run may still come back. It guards
