--- a/crates/gateway/src/process/paths/path_table.rs
+++ b/crates/gateway/src/process/paths/path_table.rs
@@ -254,7 +254,7 @@
     }
 
     /// Returns whether a path can take a request now.
-    pub(crate) fn has_place(
+    pub(crate) fn has_capacity(
         &self,
         service: &str,
         tokens: f64,
--- a/crates/gateway/src/request/run.rs
+++ b/crates/gateway/src/request/run.rs
@@ -89,7 +89,7 @@
     call.route.semantics.may_repeat()
         && gateway.may_resume()
         && gateway.may_repeat(&call.service)
-        && paths.has_place(&call.service, tokens, may_take, Instant::now())
+        && paths.has_capacity(&call.service, tokens, may_take, Instant::now())
 }
 
 /// Sends a stream over a path and waits for the head of its answer.
