--- a/crates/gateway/src/process/gateway.rs
+++ b/crates/gateway/src/process/gateway.rs
@@ -327,7 +327,7 @@
     }
 
     /// Formats for log lines why an endpoint is considered dead, and by whom. Returns `None` if it isn't.
-    pub(crate) fn judgement(&self, incarnation: &Incarnation) -> Option<String> {
+    pub(crate) fn failure_reason(&self, incarnation: &Incarnation) -> Option<String> {
         let now = Instant::now();
         if self.has_ended(incarnation) || self.incarnations.borrow().is_over(incarnation) {
             return Some("ended".to_owned());
--- a/crates/gateway/src/request/relay/failover.rs
+++ b/crates/gateway/src/request/relay/failover.rs
@@ -259,7 +259,7 @@
         let live = self.run.as_ref().map(|run| &run.place.live);
         let parts = live.into_iter().flat_map(|live| &live.path.parts);
         let judged = parts.filter_map(|part| {
-            Some(format!("{}: {}", part.incarnation.id, gateway.judgement(&part.incarnation)?))
+            Some(format!("{}: {}", part.incarnation.id, gateway.failure_reason(&part.incarnation)?))
         });
         let engines = judged.collect::<Vec<_>>().join("; ");
         let has_other =
