--- a/crates/gateway/src/process/counters.rs
+++ b/crates/gateway/src/process/counters.rs
@@ -158,7 +158,7 @@
     /// Time from a request's head to the end of its answer.
     pub(crate) whole_answer: Latency,
     /// Time from the last event of a stalled or broken stream to the next one.
-    pub(crate) mend: Latency,
+    pub(crate) repair_time: Latency,
     /// Round trip times of calls to the store, except watches.
     pub(crate) store_call: Latency,
     /// Lag of the event loop: how late its timers fire.
@@ -172,7 +172,7 @@
             counts: Count::ALL.iter().map(|_| Cell::new(0)).collect(),
             first_byte: Latency::new(),
             whole_answer: Latency::new(),
-            mend: Latency::new(),
+            repair_time: Latency::new(),
             store_call: Latency::new(),
             loop_lag: Latency::new(),
         }
@@ -203,7 +203,7 @@
         }
         self.first_byte.write(&mut page, "first_byte");
         self.whole_answer.write(&mut page, "whole_answer");
-        self.mend.write(&mut page, "mend");
+        self.repair_time.write(&mut page, "mend");
         self.store_call.write(&mut page, "store_call");
         self.loop_lag.write(&mut page, "loop_lag");
         page
--- a/crates/gateway/src/request/relay/relay.rs
+++ b/crates/gateway/src/request/relay/relay.rs
@@ -203,7 +203,7 @@
         let now = Instant::now();
         let silent = now - self.last_event;
         if self.failovers > 0 && self.events.events() > 0 && silent > SILENCE_LOOK {
-            self.gateway.counters.mend.record(silent);
+            self.gateway.counters.repair_time.record(silent);
         }
         if self.on_path == OnPath::Moved {
             self.on_path = OnPath::Served;
