--- a/crates/gateway/src/process/pool.rs
+++ b/crates/gateway/src/process/pool.rs
@@ -93,7 +93,7 @@
 
     /// Drops the connections to an endpoint that have been idle since `since` or longer: one of that age got no
     /// answer, and all of that age may have gone silent together.
-    pub(crate) fn give_up(&mut self, incarnation: &Incarnation, since: Instant) {
+    pub(crate) fn drop_idle_since(&mut self, incarnation: &Incarnation, since: Instant) {
         if let Some(idle) = self.idle.get_mut(incarnation) {
             idle.retain(|connection| connection.idle_since > since);
         }
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -171,7 +171,7 @@
 impl Drop for Silence {
     fn drop(&mut self) {
         if !self.is_over.get() && self.since.elapsed() >= SILENT_AFTER {
-            self.gateway.pool.borrow_mut().give_up(&self.incarnation, self.since);
+            self.gateway.pool.borrow_mut().drop_idle_since(&self.incarnation, self.since);
         }
     }
 }
--- a/crates/gateway/src/request/relay/failover.rs
+++ b/crates/gateway/src/request/relay/failover.rs
@@ -61,7 +61,7 @@
         let live = &run.place.live;
         let first = &live.path.first().incarnation;
         if !live.is_broken() && self.last_event.elapsed() >= STREAM_SILENCE {
-            self.gateway.pool.borrow_mut().give_up(first, self.last_event);
+            self.gateway.pool.borrow_mut().drop_idle_since(first, self.last_event);
         }
         match fault.evidence() {
             FaultEvidence::Connection => check_first(&self.gateway, live),
