--- a/crates/gateway/src/process/gateway.rs
+++ b/crates/gateway/src/process/gateway.rs
@@ -47,7 +47,7 @@
     /// Mean duration of an answer, in ms; 0 before the first.
     pub(crate) mean_ms: f64,
     /// The load that it last reported, and when.
-    pub(crate) told: Option<(EndpointLoad, Instant)>,
+    pub(crate) reported: Option<(EndpointLoad, Instant)>,
 }
 
 /// State shared by all parts of a gateway.
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -232,7 +232,7 @@
     let Some(load) = head.load else { return };
     let mut uses = gateway.uses.borrow_mut();
     let used: &mut EndpointUse = uses.entry(incarnation.clone()).or_default();
-    used.told = Some((load, Instant::now()));
+    used.reported = Some((load, Instant::now()));
 }
 
 /// Sorts out answers that belong to another request, and those that tell that nothing was run.
--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -275,12 +275,12 @@
 /// Expected work before a new request, in requests.
 fn work(gateway: &Gateway, endpoint: &Endpoint, now: Instant) -> f64 {
     let used = gateway.uses.borrow().get(&endpoint.incarnation()).copied().unwrap_or_default();
-    let told = used.told.filter(|(_, at)| now - *at < LOAD_FRESH);
-    let told = told.map_or(0.0, |(load, _)| f64::from(load.running + load.waiting));
+    let reported = used.reported.filter(|(_, at)| now - *at < LOAD_FRESH);
+    let reported = reported.map_or(0.0, |(load, _)| f64::from(load.running + load.waiting));
     let is_near = endpoint.data_centre == gateway.settings.data_centre;
     let distance = if is_near { 0.0 } else { OTHER_DATA_CENTRE };
     let slowness = used.mean_ms.max(1.0).ln();
-    told.max(f64::from(used.in_flight)) + f64::from(used.in_flight) * 0.1 + distance + slowness
+    reported.max(f64::from(used.in_flight)) + f64::from(used.in_flight) * 0.1 + distance + slowness
 }
 
 /// Runs a request at one endpoint and reads its answer whole, within the time that is left.
