--- a/crates/gateway/src/process/paths/path_check.rs
+++ b/crates/gateway/src/process/paths/path_check.rs
@@ -134,7 +134,8 @@
 async fn request_report(gateway: &Rc<Gateway>, part: &PathPart) -> Result<(), Unanswered> {
     let asked = Instant::now();
     let client = gateway.probe(&part.incarnation, part.addr);
-    let report = gateway.ask(&client, REPORT_TIMEOUT, |limit| read_report(&client, limit)).await?;
+    let report =
+        gateway.query(&client, REPORT_TIMEOUT, |limit| read_report(&client, limit)).await?;
     // A restarted engine breaks all its paths.
     gateway.on_answer_of(&part.incarnation, part.addr, report.started, asked);
     Ok(())
--- a/crates/gateway/src/process/queries.rs
+++ b/crates/gateway/src/process/queries.rs
@@ -20,7 +20,7 @@
 impl Gateway {
     /// Sends a query over `client`, with the timeout `limit`, until it is answered, the endpoint fails it, or the
     /// silence is evidence.
-    pub(crate) async fn ask<T>(
+    pub(crate) async fn query<T>(
         &self,
         client: &Client,
         limit: Duration,
--- a/crates/gateway/src/process/store/endpoint_check.rs
+++ b/crates/gateway/src/process/store/endpoint_check.rs
@@ -206,7 +206,7 @@
     let began = Instant::now();
     let client = gateway.probe(incarnation, *addr);
     let question = |limit| read_health(&client, health_path, &incarnation.id, limit);
-    let answer = match gateway.ask(&client, HEALTH_LIMIT, question).await {
+    let answer = match gateway.query(&client, HEALTH_LIMIT, question).await {
         Ok(answer) => answer,
         Err(Unanswered::Failed(err @ CallError::NoAnswer { .. })) => {
             return Err(check_silent(gateway, asked, &err).await);
@@ -236,7 +236,7 @@
         return Unwell::Silent(err.to_string());
     }
     let client = gateway.probe(&asked.incarnation, asked.addr);
-    match gateway.ask(&client, HEALTH_LIMIT, |limit| read_report(&client, limit)).await {
+    match gateway.query(&client, HEALTH_LIMIT, |limit| read_report(&client, limit)).await {
         Ok(_) => Unwell::Unknown,
         Err(unanswered) => unanswered.into(),
     }
@@ -251,7 +251,7 @@
     }
     let began = Instant::now();
     let client = gateway.probe(incarnation, *addr);
-    let report = gateway.ask(&client, HEALTH_LIMIT, |limit| read_report(&client, limit)).await?;
+    let report = gateway.query(&client, HEALTH_LIMIT, |limit| read_report(&client, limit)).await?;
     match gateway.on_answer_of(incarnation, *addr, report.started, began) {
         AnswerOf::SameIncarnation => Ok(()),
         AnswerOf::OtherIncarnation => Err(Unwell::OtherIncarnation),
