--- a/crates/gateway/src/process/dump.rs
+++ b/crates/gateway/src/process/dump.rs
@@ -157,9 +157,9 @@
 
 fn lead(gateway: &Gateway, now: Instant) -> Option<LeadDump> {
     let fleet_state = gateway.fleet_state.borrow();
-    let (view, heard) = fleet_state.lead(now)?;
+    let (view, last_contact) = fleet_state.lead(now)?;
     let Revision { era, count } = view.term;
-    let (is_own, heard_ms) = (gateway.leads.get(), millis(heard, now));
+    let (is_own, heard_ms) = (gateway.leads.get(), millis(last_contact, now));
     Some(LeadDump { is_own, term: count, era, heard_ms })
 }
 
