--- a/crates/gateway/src/process/dump.rs
+++ b/crates/gateway/src/process/dump.rs
@@ -1,4 +1,4 @@
-//! The state of a gateway on request, as JSON.
+//! Dump of a gateway's state as JSON.
 
 use crate::process::{Gateway, Phase};
 use serde::Serialize;
@@ -11,8 +11,8 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-/// The most elements of each list: more than the largest deployment has endpoints.
-const MOST_ELEMENTS: usize = 1_024;
+/// Maximum number of elements in each list: more than the largest deployment has endpoints.
+const MAX_ELEMENTS: usize = 1_024;
 
 /// The state of a gateway. Ages are in ms.
 #[derive(Serialize)]
@@ -20,22 +20,22 @@
     instance: String,
     phase: &'static str,
     config_version: u64,
-    /// The newest era of the store that was heard of, and the one in which the endpoints are known.
+    /// The newest known era of the store, and the era of the endpoint list.
     store_era: StoreEra,
     endpoints_era: StoreEra,
     endpoints_at: ChangeCount,
-    /// How long ago the store last told all that it had.
+    /// Age of the last data from the store that was confirmed complete.
     configuration_heard_ms: Option<u64>,
     endpoints_heard_ms: Option<u64>,
     lead: Option<LeadDump>,
-    /// How many gateways share the retry budget, this one included.
+    /// Number of gateways that share the retry budget, this one included.
     budget_gateways: usize,
     gateways: Vec<GatewayDump>,
     endpoints: Vec<EndpointDump>,
     refused_by_reason: BTreeMap<FaultKind, usize>,
     refused_entries: Vec<RefusedDump>,
     paths: Vec<PathDump>,
-    /// Elements that the lists leave out.
+    /// Number of elements omitted from the lists.
     left_out: usize,
 }
 
@@ -87,11 +87,11 @@
     service: String,
     data_centre: String,
     engines: Vec<String>,
-    /// Tokens that it has room for, as a whole.
+    /// Total capacity in tokens.
     room: f64,
     /// Tokens that streams of this gateway reserve.
     tokens: f64,
-    /// Streams of this gateway.
+    /// Number of streams of this gateway.
     streams: u32,
     is_superseded: bool,
     is_retiring: bool,
@@ -99,7 +99,7 @@
 }
 
 impl Dump {
-    /// The state of a gateway now.
+    /// Returns the state of a gateway now.
     pub(crate) fn of(gateway: &Gateway, now: Instant) -> Dump {
         let knowledge = gateway.knowledge.borrow();
         let endpoints = knowledge.known_endpoints().map(|known| endpoint(known, now));
@@ -124,7 +124,7 @@
             configuration_heard_ms: gateway.store_heard.age_ms(Kind::Configuration, now),
             endpoints_heard_ms: gateway.store_heard.age_ms(Kind::Endpoints, now),
             lead: lead(gateway, now),
-            budget_gateways: gateway.beliefs.borrow().gateways(now),
+            budget_gateways: gateway.fleet_state.borrow().gateways(now),
             gateways: bounded(gateways(gateway, now).into_iter(), &mut left_out),
             endpoints: bounded(endpoints, &mut left_out),
             refused_by_reason,
@@ -136,7 +136,7 @@
 }
 
 fn bounded<T>(mut all: impl Iterator<Item = T>, left_out: &mut usize) -> Vec<T> {
-    let kept = all.by_ref().take(MOST_ELEMENTS).collect();
+    let kept = all.by_ref().take(MAX_ELEMENTS).collect();
     *left_out += all.count();
     kept
 }
@@ -156,19 +156,19 @@
 }
 
 fn lead(gateway: &Gateway, now: Instant) -> Option<LeadDump> {
-    let beliefs = gateway.beliefs.borrow();
-    let (view, heard) = beliefs.lead(now)?;
+    let fleet_state = gateway.fleet_state.borrow();
+    let (view, last_contact) = fleet_state.lead(now)?;
     let Revision { era, count } = view.term;
-    let (is_own, heard_ms) = (gateway.leads.get(), millis(heard, now));
+    let (is_own, heard_ms) = (gateway.leads.get(), millis(last_contact, now));
     Some(LeadDump { is_own, term: count, era, heard_ms })
 }
 
 fn gateways(gateway: &Gateway, now: Instant) -> Vec<GatewayDump> {
-    let beliefs = gateway.beliefs.borrow();
-    let live = beliefs.live_peers(now).map(|peer| GatewayDump {
+    let fleet_state = gateway.fleet_state.borrow();
+    let live = fleet_state.live_peers(now).map(|peer| GatewayDump {
         instance: peer.message.instance.clone(),
         addr: peer.addr,
-        heard_ms: millis(peer.heard, now),
+        heard_ms: millis(peer.last_contact, now),
         config_version: peer.message.known.config,
         endpoints_era: peer.message.known.endpoints_at.era,
         endpoints_at: peer.message.known.endpoints_at.count,
@@ -203,10 +203,10 @@
 
 fn paths(gateway: &Gateway, knowledge: &Knowledge) -> Vec<PathDump> {
     let Some(routes) = knowledge.routes() else { return Vec::new() };
-    let book = gateway.paths.borrow();
+    let table = gateway.paths.borrow();
     let mut paths = Vec::new();
     for service in &routes.cfg().services {
-        paths.extend(book.paths(&service.name).iter().map(|live| PathDump {
+        paths.extend(table.paths(&service.name).iter().map(|live| PathDump {
             service: service.name.clone(),
             data_centre: live.path.data_centre.clone(),
             engines: live.path.parts.iter().map(|part| part.incarnation.to_string()).collect(),
--- a/crates/gateway/src/process/mod.rs
+++ b/crates/gateway/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a process.
+//! State and tasks that last as long as the process.
 
 mod counters;
 mod dump;
@@ -10,7 +10,7 @@
 mod peers;
 mod placer;
 mod pool;
-mod questions;
+mod queries;
 mod retry_budgets;
 mod run;
 mod store;
@@ -24,6 +24,6 @@
 pub(crate) use paths::*;
 pub(crate) use peers::*;
 pub(crate) use pool::*;
-pub(crate) use questions::*;
+pub(crate) use queries::*;
 pub use run::*;
 pub(crate) use store::*;
--- a/crates/gateway/src/process/paths/path_refresh.rs
+++ b/crates/gateway/src/process/paths/path_refresh.rs
@@ -1,6 +1,6 @@
-//! Works out the paths anew from what is known of the engines.
+//! Recomputes the paths from the known state of the engines.
 
-use crate::process::{EngineFate, Gateway, LivePath};
+use crate::process::{EngineAvailability, Gateway, LivePath};
 use sorrellock_routing::process::knowledge::Knowledge;
 use sorrellock_routing::process::{DataCentre, Holder, Incarnation, LayerRange};
 use sorrellock_routing::version::ModelShape;
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 impl Gateway {
-    /// Works out the paths of all models anew, those of dropped services included while requests of theirs may be under way.
+    /// Recomputes the paths of all models. Includes those of dropped services while requests of theirs may still run.
     pub(crate) fn refresh_paths(&self) {
         let now = Instant::now();
         let leaving_serves_for = self.bounds.get().leave_within;
@@ -18,35 +18,39 @@
         for service in knowledge.services(now.into_std()) {
             let Some(shape) = &service.model else { continue };
             let holders = self.holders(&knowledge, &service.name, shape, now);
-            let beliefs = self.beliefs.borrow();
+            let fleet_state = self.fleet_state.borrow();
             let incarnations = self.incarnations.borrow();
-            let fate = |incarnation: &Incarnation| {
-                let is_dead = beliefs.engine(incarnation, now).is_some_and(|engine| engine.is_dead);
+            let availability = |incarnation: &Incarnation| {
+                let is_dead =
+                    fleet_state.engine(incarnation, now).is_some_and(|engine| engine.is_dead);
                 if is_dead || incarnations.has_ended(incarnation) {
-                    return EngineFate::Dead;
+                    return EngineAvailability::Dead;
                 }
                 let endpoint = knowledge.endpoint(&incarnation.id);
                 match endpoint.filter(|_| !knowledge.is_unusable(&incarnation.id)) {
-                    Some(endpoint) if endpoint.started != incarnation.started => EngineFate::Dead,
+                    Some(endpoint) if endpoint.started != incarnation.started => {
+                        EngineAvailability::Dead
+                    }
                     Some(endpoint)
-                        if !endpoint.is_leaving && !beliefs.is_leaving(incarnation, now) =>
+                        if !endpoint.is_leaving && !fleet_state.is_leaving(incarnation, now) =>
                     {
-                        EngineFate::Stays
+                        EngineAvailability::Available
                     }
-                    // It finishes what it runs for a while, also without an entry to use.
-                    _ => EngineFate::Leaves,
+                    // Finishes its running work for a while, even without a usable entry.
+                    _ => EngineAvailability::Leaving,
                 }
             };
             let mut paths = self.paths.borrow_mut();
-            if paths.rebuild(&service.name, shape, &holders, fate, leaving_serves_for, now) {
+            if paths.rebuild(&service.name, shape, &holders, availability, leaving_serves_for, now)
+            {
                 let gaps = gaps(&holders, shape.layers);
                 if !gaps.is_empty() {
                     warn!("layers without an engine", kv: {
                         service = service.name.as_str(), gaps = gaps.as_str()
                     });
                 }
-                let untold = |live: &&Rc<LivePath>| !live.is_told.replace(true);
-                for live in paths.paths(&service.name).iter().filter(untold) {
+                let unlogged = |live: &&Rc<LivePath>| !live.is_logged.replace(true);
+                for live in paths.paths(&service.name).iter().filter(unlogged) {
                     let text = sorrellock_platform::format_path(&live.path.parts);
                     info!("path in use", kv: {
                         service = service.name.as_str(),
@@ -59,10 +63,10 @@
         }
         let is_served =
             |name: &str| knowledge.services(now.into_std()).any(|service| service.name == name);
-        self.paths.borrow_mut().forget_services(is_served);
+        self.paths.borrow_mut().remove_services(is_served);
     }
 
-    /// The engines that may be part of a path, with the layers that they can run now.
+    /// Returns the engines that may be part of a path, with the layers that they can run now.
     fn holders(
         &self,
         knowledge: &Knowledge,
@@ -70,22 +74,22 @@
         shape: &ModelShape,
         now: Instant,
     ) -> Vec<Holder> {
-        let beliefs = self.beliefs.borrow();
-        let has_lead = beliefs.lead(now).is_some();
+        let fleet_state = self.fleet_state.borrow();
+        let has_lead = fleet_state.lead(now).is_some();
         let mut holders = Vec::new();
         let engines =
             knowledge.open_endpoints(now.into_std()).filter(|engine| engine.service == service);
         for endpoint in engines {
             let incarnation = endpoint.incarnation();
-            if beliefs.is_leaving(&incarnation, now) || self.has_ended(&incarnation) {
+            if fleet_state.is_leaving(&incarnation, now) || self.has_ended(&incarnation) {
                 continue;
             }
-            let view = beliefs.engine(&incarnation, now);
-            // An engine that the lead doesn't tell of leaves, or holds nothing yet.
+            let view = fleet_state.engine(&incarnation, now);
+            // An engine that is missing from the lead's view is leaving, or holds no layers yet.
             let listed = if has_lead { LayerRange::default() } else { endpoint.layers };
             let layers = view.map_or(listed, |view| view.usable);
             let is_dead = view.is_some_and(|view| view.is_dead);
-            if is_dead || layers.is_empty() || beliefs.is_suspect(&incarnation, now) {
+            if is_dead || layers.is_empty() || fleet_state.is_suspect(&incarnation, now) {
                 continue;
             }
             let card = endpoint.card.as_deref().and_then(|card| shape.card(card));
@@ -104,7 +108,7 @@
     }
 }
 
-/// The layers of each data centre that no holder can run, for log lines.
+/// Formats the layers of each data centre that no holder can run, for log lines.
 fn gaps(holders: &[Holder], layers: u32) -> String {
     let data_centres: BTreeSet<&DataCentre> =
         holders.iter().map(|holder| &holder.data_centre).collect();
--- a/crates/gateway/src/process/peers/peers.rs
+++ b/crates/gateway/src/process/peers/peers.rs
@@ -1,5 +1,5 @@
-//! Talks with the other gateways: loads, suspicions, what the lead knows, and what the store has
-//! told to others first.
+//! Exchanges messages with the other gateways: loads, suspected endpoints, the lead's view of the engines, and
+//! how recent each gateway's data from the store is.
 
 use crate::process::{Count, Gateway, HeadLoad, LeadView, Load, Peer, PeerMessage, Unreadable};
 use sorrellock_platform::Kind;
@@ -13,19 +13,20 @@
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How often a gateway tells the others. Loads that are a tenth of a second old differ by one or
-/// two streams from the true ones at 15 requests a second.
-pub(super) const TELL_INTERVAL: Duration = Duration::from_millis(100);
-/// From so many gateways on each tells more seldom: messages grow with their square, and those
-/// between data centres are priced.
+/// Interval between messages to the other gateways. At 15 requests a second, loads that are 100 ms old are off
+/// by one or two streams.
+pub(super) const SEND_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of gateways above which the send interval grows: the number of messages is quadratic in it, and
+/// messages between data centres have a cost.
 const MANY_GATEWAYS: u32 = 12;
-/// The longest time between two messages: a silent lead is replaced after a second.
-const TELL_INTERVAL_MOST: Duration = Duration::from_millis(250);
-/// How often the lead tells all that it knows where nothing changed, for those that missed it.
+/// Upper bound of the send interval: a silent lead is replaced after a second.
+const MAX_SEND_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which the lead repeats an unchanged view, for gateways that missed the last message.
 const VIEW_INTERVAL: Duration = Duration::from_millis(700);
-/// The most senders of which it is remembered that the log told of them: more than a fleet has gateways.
-const MAX_TOLD_UNREADABLE: usize = 1_024;
-/// Largest datagram.
+/// Maximum number of senders of unreadable messages to remember, so that each is logged once: more than a fleet
+/// has gateways.
+const MAX_LOGGED_UNREADABLE: usize = 1_024;
+/// Largest datagram, in bytes.
 const MAX_DATAGRAM: usize = 60_000;
 
 /// Messages to and from the other gateways.
@@ -33,16 +34,16 @@
     pub(super) gateway: Rc<Gateway>,
     pub(super) socket: UdpSocket,
     pub(super) sequence: Cell<u64>,
-    /// What this gateway told as the lead, and when.
-    pub(super) told_view: RefCell<Option<(LeadView, Instant)>>,
-    /// Where gateways listen that the store tells of.
+    /// The view that this gateway last sent as the lead, and when.
+    pub(super) sent_view: RefCell<Option<(LeadView, Instant)>>,
+    /// Peer addresses of the gateways that are registered in the store.
     pub(super) registered: RefCell<HashSet<SocketAddr>>,
-    /// What this gateway knows while it is the lead.
+    /// This gateway's view of the engines while it is the lead.
     pub(super) own_view: Rc<RefCell<Option<LeadView>>>,
-    /// Whom to ask for what the others know.
+    /// Chooses the gateway to catch up from.
     pub(super) sources: RefCell<UpdateSources>,
-    /// Senders of which the log told that their messages can't be read.
-    told_unreadable: RefCell<HashSet<SocketAddr>>,
+    /// Senders whose unreadable messages have been logged.
+    logged_unreadable: RefCell<HashSet<SocketAddr>>,
 }
 
 impl Peers {
@@ -55,32 +56,32 @@
             gateway,
             socket,
             sequence: Cell::new(0),
-            told_view: RefCell::default(),
+            sent_view: RefCell::default(),
             registered: RefCell::default(),
             own_view,
             sources: RefCell::default(),
-            told_unreadable: RefCell::default(),
+            logged_unreadable: RefCell::default(),
         }
     }
 
-    /// Tells the others, for ever.
-    pub(crate) async fn tell(self: Rc<Self>) {
+    /// Sends messages to the other gateways, indefinitely.
+    pub(crate) async fn send_messages(self: Rc<Self>) {
         loop {
-            self.tell_once();
+            self.send_to_all();
             self.take_loads();
-            let gateways = self.gateway.beliefs.borrow().gateways(Instant::now()) as u32;
-            let interval = TELL_INTERVAL * gateways / MANY_GATEWAYS;
-            let interval = interval.clamp(TELL_INTERVAL, TELL_INTERVAL_MOST);
-            // A suspicion is told at once; others are spared their own questions.
+            let gateways = self.gateway.fleet_state.borrow().gateways(Instant::now()) as u32;
+            let interval = SEND_INTERVAL * gateways / MANY_GATEWAYS;
+            let interval = interval.clamp(SEND_INTERVAL, MAX_SEND_INTERVAL);
+            // A new suspicion is sent at once, so that the others needn't probe the endpoint themselves.
             let _ = timeout(interval, self.gateway.suspected.notified()).await;
         }
     }
 
-    fn tell_once(&self) {
+    fn send_to_all(&self) {
         let message = self.message();
         let Ok(buf) = message.encode() else { return };
         for addr in self.targets() {
-            // A lost message is made up for by the next one.
+            // A lost message is superseded by the next one.
             let _ = self.socket.try_send_to(&buf, addr);
         }
     }
@@ -89,17 +90,17 @@
         let gateway = &self.gateway;
         self.sequence.set(self.sequence.get() + 1);
         let now = Instant::now();
-        let suspects = gateway.beliefs.borrow_mut().suspects_own(now);
-        let leaving = gateway.beliefs.borrow_mut().leaving_own(now);
-        let ended = gateway.beliefs.borrow_mut().ended_own(now);
-        let left = gateway.beliefs.borrow_mut().left_own(now);
+        let suspects = gateway.fleet_state.borrow_mut().own_suspects(now);
+        let leaving = gateway.fleet_state.borrow_mut().own_leaving(now);
+        let ended = gateway.fleet_state.borrow_mut().own_ended(now);
+        let left = gateway.fleet_state.borrow_mut().own_left(now);
         let own_loads = gateway.paths.borrow().own_loads();
         let load = |(head, load): (Incarnation, Load)| HeadLoad {
             head,
             tokens: load.tokens.max(0.0) as u32,
             streams: load.streams,
         };
-        let heard_ms = |kind| gateway.store_heard.age_ms(kind, now).map(|ms| ms as u32);
+        let store_age_ms = |kind| gateway.store_heard.age_ms(kind, now).map(|ms| ms as u32);
         PeerMessage {
             instance: gateway.settings.instance.clone(),
             incarnation: gateway.incarnation,
@@ -108,8 +109,8 @@
             sequence: self.sequence.get(),
             store_era: gateway.eras.known(),
             known: gateway.knowledge.borrow().known(),
-            configuration_heard_ms: heard_ms(Kind::Configuration),
-            endpoints_heard_ms: heard_ms(Kind::Endpoints),
+            configuration_heard_ms: store_age_ms(Kind::Configuration),
+            endpoints_heard_ms: store_age_ms(Kind::Endpoints),
             loads: own_loads.into_iter().map(load).collect(),
             suspects,
             leaving,
@@ -117,26 +118,26 @@
             left,
             left_before_era: gateway.knowledge.borrow().left_before_era(now.into_std()),
             lead_term: self.own_view.borrow().as_ref().map(|view| view.term),
-            lead: self.view_to_tell(now),
+            lead: self.view_to_send(now),
         }
     }
 
-    /// What the lead knows, if it is news or wasn't told for a while.
-    fn view_to_tell(&self, now: Instant) -> Option<LeadView> {
+    /// Returns the lead's view if it changed or wasn't sent for [`VIEW_INTERVAL`].
+    fn view_to_send(&self, now: Instant) -> Option<LeadView> {
         let view = self.own_view.borrow().clone()?;
-        let mut told = self.told_view.borrow_mut();
-        let is_told =
+        let mut sent = self.sent_view.borrow_mut();
+        let is_sent =
             |(before, at): &(LeadView, Instant)| *before == view && now - *at < VIEW_INTERVAL;
-        if told.as_ref().is_some_and(is_told) {
+        if sent.as_ref().is_some_and(is_sent) {
             return None;
         }
-        *told = Some((view.clone(), now));
+        *sent = Some((view.clone(), now));
         Some(view)
     }
 
     fn targets(&self) -> HashSet<SocketAddr> {
         let mut targets = self.registered.borrow().clone();
-        targets.extend(self.gateway.beliefs.borrow().peers.values().map(|peer| peer.addr));
+        targets.extend(self.gateway.fleet_state.borrow().peers.values().map(|peer| peer.addr));
         targets.remove(&self.own_addr());
         targets
     }
@@ -148,17 +149,17 @@
     fn take_loads(&self) {
         let now = Instant::now();
         let mut loads: HashMap<Incarnation, Load> = HashMap::new();
-        for peer in self.gateway.beliefs.borrow().live_peers(now) {
-            for told in &peer.message.loads {
-                let load = loads.entry(told.head.clone()).or_default();
-                load.tokens += f64::from(told.tokens);
-                load.streams += told.streams;
+        for peer in self.gateway.fleet_state.borrow().live_peers(now) {
+            for reported in &peer.message.loads {
+                let load = loads.entry(reported.head.clone()).or_default();
+                load.tokens += f64::from(reported.tokens);
+                load.streams += reported.streams;
             }
         }
         self.gateway.paths.borrow_mut().set_peer_loads(loads);
     }
 
-    /// Takes the others' messages, for ever.
+    /// Receives messages from the other gateways, indefinitely.
     pub(crate) async fn listen(self: Rc<Self>) {
         let mut buf = vec![0; MAX_DATAGRAM];
         loop {
@@ -166,8 +167,8 @@
                 Ok((len, from)) => self.on_datagram(&buf[..len], from),
                 Err(err) => {
                     let text = err.to_string();
-                    warn!("message of a gateway not received", kv: { err = text.as_str() });
-                    sleep(TELL_INTERVAL).await;
+                    warn!("failed to receive a message from a gateway", kv: { err = text.as_str() });
+                    sleep(SEND_INTERVAL).await;
                 }
             }
         }
@@ -183,13 +184,13 @@
         }
     }
 
-    /// During an upgrade gateways of other versions are there: it is told once of each.
+    /// Logs each sender once: during an upgrade some gateways use another message format.
     fn on_unreadable(&self, unreadable: Unreadable, from: SocketAddr) {
         self.gateway.counters.add(Count::PeerMessagesBad);
-        let mut told = self.told_unreadable.borrow_mut();
-        if told.len() < MAX_TOLD_UNREADABLE && told.insert(from) {
+        let mut logged = self.logged_unreadable.borrow_mut();
+        if logged.len() < MAX_LOGGED_UNREADABLE && logged.insert(from) {
             let from = from.to_string();
-            warn!("message of a gateway can't be read", kv: {
+            warn!("unreadable message from a gateway", kv: {
                 from = from.as_str(), why:? = unreadable
             });
         }
@@ -199,8 +200,8 @@
         let gateway = &self.gateway;
         let now = Instant::now();
         gateway.eras.hear(message.store_era, &message.instance);
-        let mut beliefs = gateway.beliefs.borrow_mut();
-        let before = beliefs.peers.get(&message.instance);
+        let mut fleet_state = gateway.fleet_state.borrow_mut();
+        let before = fleet_state.peers.get(&message.instance);
         let is_old = before.is_some_and(|peer| {
             peer.message.incarnation == message.incarnation
                 && peer.message.sequence >= message.sequence
@@ -210,7 +211,7 @@
         }
         if before.is_none_or(|peer| peer.message.incarnation != message.incarnation) {
             let addr = from.to_string();
-            info!("gateway heard", kv: {
+            info!("gateway discovered", kv: {
                 instance = message.instance.as_str(), addr = addr.as_str()
             });
         }
@@ -218,21 +219,21 @@
         let has_new_suspects = message.suspects.iter().any(|report| !reported.contains(report));
         let mut is_changed = false;
         if let Some(term) = message.lead_term {
-            beliefs.hear_lead(term, now);
+            fleet_state.extend_lead(term, now);
         }
         if let Some(view) = &message.lead {
-            let known = beliefs.lead(now);
+            let known = fleet_state.lead(now);
             is_changed = known.is_none_or(|(known, _)| known.engines != view.engines);
-            is_changed &= beliefs.apply_lead(view.clone(), now);
+            is_changed &= fleet_state.apply_lead(view.clone(), now);
         }
-        let told = message.leaving.iter();
-        let told = told
-            .filter(|incarnation| !beliefs.is_leaving(incarnation, now))
+        let leaving = message.leaving.iter();
+        let leaving = leaving
+            .filter(|incarnation| !fleet_state.is_leaving(incarnation, now))
             .cloned()
             .collect::<Vec<_>>();
-        for incarnation in &told {
-            beliefs.hear_leaving(incarnation, now);
-            info!("endpoint told that it leaves", kv: {
+        for incarnation in &leaving {
+            fleet_state.add_reported_leaving(incarnation, now);
+            info!("endpoint reported that it is leaving", kv: {
                 endpoint = incarnation.id.as_str(), source = message.instance.as_str()
             });
             is_changed = true;
@@ -241,8 +242,8 @@
         let (ended, left) = (message.ended.clone(), message.left.clone());
         let (era, left_before_era) =
             (message.known.endpoints_at.era, message.left_before_era.clone());
-        beliefs.peers.insert(instance.clone(), Peer { addr: from, message, heard: now });
-        drop(beliefs);
+        fleet_state.peers.insert(instance.clone(), Peer { addr: from, message, last_contact: now });
+        drop(fleet_state);
         for end in &ended {
             gateway.hear_end(end, &instance);
         }
@@ -254,9 +255,9 @@
             gateway.refresh_paths();
         }
         if has_new_suspects {
-            gateway.take_reported_failures();
+            gateway.apply_reported_failures();
         }
-        if has_new_suspects || !told.is_empty() {
+        if has_new_suspects || !leaving.is_empty() {
             gateway.engines_changed.notify_waiters();
         }
     }
--- a/crates/gateway/src/process/store/endpoint_check.rs
+++ b/crates/gateway/src/process/store/endpoint_check.rs
@@ -58,7 +58,7 @@
         match res {
             // One that refused a request just now lives.
             Ok(()) | Err(Unwell::OtherIncarnation | Unwell::Unknown | Unwell::Silent(_)) => {}
-            Err(Unwell::Leaves) => gateway.believe_leaving(&asked.incarnation),
+            Err(Unwell::Leaves) => gateway.mark_leaving(&asked.incarnation),
             Err(Unwell::Ended(why)) => {
                 gateway.suspect(&asked.incarnation, FailureEvidence::Refused, &why)
             }
@@ -135,7 +135,7 @@
 /// lapsed may take to be back. One that gives no answer stays as long as that.
 pub(crate) fn check_lapsed(gateway: &Rc<Gateway>, id: &str) {
     let now = Instant::now();
-    if !gateway.beliefs.borrow().asks_for_all(id, gateway.incarnation, now) {
+    if !gateway.fleet_state.borrow().is_designated_prober(id, gateway.incarnation, now) {
         return;
     }
     let found = {
@@ -152,7 +152,7 @@
         {
             return;
         }
-        gateway.beliefs.borrow_mut().note_left(asked.incarnation, Instant::now());
+        gateway.fleet_state.borrow_mut().note_left(asked.incarnation, Instant::now());
         gateway.suspected.notify_one();
         gateway.refresh_paths();
     });
@@ -206,7 +206,7 @@
     let began = Instant::now();
     let client = gateway.probe(incarnation, *addr);
     let question = |limit| read_health(&client, health_path, &incarnation.id, limit);
-    let answer = match gateway.ask(&client, HEALTH_LIMIT, question).await {
+    let answer = match gateway.query(&client, HEALTH_LIMIT, question).await {
         Ok(answer) => answer,
         Err(Unanswered::Failed(err @ CallError::NoAnswer { .. })) => {
             return Err(check_silent(gateway, asked, &err).await);
@@ -236,7 +236,7 @@
         return Unwell::Silent(err.to_string());
     }
     let client = gateway.probe(&asked.incarnation, asked.addr);
-    match gateway.ask(&client, HEALTH_LIMIT, |limit| read_report(&client, limit)).await {
+    match gateway.query(&client, HEALTH_LIMIT, |limit| read_report(&client, limit)).await {
         Ok(_) => Unwell::Unknown,
         Err(unanswered) => unanswered.into(),
     }
@@ -251,7 +251,7 @@
     }
     let began = Instant::now();
     let client = gateway.probe(incarnation, *addr);
-    let report = gateway.ask(&client, HEALTH_LIMIT, |limit| read_report(&client, limit)).await?;
+    let report = gateway.query(&client, HEALTH_LIMIT, |limit| read_report(&client, limit)).await?;
     match gateway.on_answer_of(incarnation, *addr, report.started, began) {
         AnswerOf::SameIncarnation => Ok(()),
         AnswerOf::OtherIncarnation => Err(Unwell::OtherIncarnation),
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -173,7 +173,7 @@
 impl Drop for SilenceWatch {
     fn drop(&mut self) {
         if !self.has_ended.get() && self.since.elapsed() >= POOL_DISCARD_SILENCE {
-            self.gateway.pool.borrow_mut().give_up(&self.incarnation, self.since);
+            self.gateway.pool.borrow_mut().drop_idle_since(&self.incarnation, self.since);
         }
     }
 }
@@ -234,7 +234,7 @@
     let Some(load) = head.load else { return };
     let mut uses = gateway.uses.borrow_mut();
     let used: &mut EndpointUse = uses.entry(incarnation.clone()).or_default();
-    used.told = Some((load, Instant::now()));
+    used.reported = Some((load, Instant::now()));
 }
 
 /// Rejects answers that belong to another request, are not signed, or state that nothing was run.
--- a/crates/gateway/src/request/plain.rs
+++ b/crates/gateway/src/request/plain.rs
@@ -263,17 +263,17 @@
 ) -> Option<(Endpoint, Permit)> {
     let now = Instant::now();
     let knowledge = gateway.knowledge.borrow();
-    let beliefs = gateway.beliefs.borrow();
+    let fleet_state = gateway.fleet_state.borrow();
     let mut open: Vec<&Endpoint> = knowledge
         .open_endpoints(now.into_std())
         .filter(|endpoint| endpoint.service == call.service)
-        .filter(|endpoint| !beliefs.is_leaving(&endpoint.incarnation(), now))
+        .filter(|endpoint| !fleet_state.is_leaving(&endpoint.incarnation(), now))
         .filter(|endpoint| !tried.contains(&endpoint.incarnation()))
         .filter(|endpoint| !gateway.has_ended(&endpoint.incarnation()))
         .collect();
     let expected_load = |endpoint: &Endpoint| expected_load(gateway, endpoint, now);
     open.sort_by(|a, b| {
-        let suspect = |endpoint: &Endpoint| beliefs.is_suspect(&endpoint.incarnation(), now);
+        let suspect = |endpoint: &Endpoint| fleet_state.is_suspect(&endpoint.incarnation(), now);
         suspect(a).cmp(&suspect(b)).then_with(|| expected_load(a).total_cmp(&expected_load(b)))
     });
     let mut breakers = gateway.breakers.borrow_mut();
@@ -289,7 +289,7 @@
 /// Returns the load that a new request is expected to meet, in requests.
 fn expected_load(gateway: &Gateway, endpoint: &Endpoint, now: Instant) -> f64 {
     let used = gateway.uses.borrow().get(&endpoint.incarnation()).copied().unwrap_or_default();
-    let reported = used.told.filter(|(_, at)| now - *at < LOAD_MAX_AGE);
+    let reported = used.reported.filter(|(_, at)| now - *at < LOAD_MAX_AGE);
     let reported = reported.map_or(0.0, |(load, _)| f64::from(load.running + load.waiting));
     let is_near = endpoint.data_centre == gateway.settings.data_centre;
     let distance = if is_near { 0.0 } else { OTHER_DATA_CENTRE_PENALTY };
--- a/crates/gateway/src/request/relay/failover.rs
+++ b/crates/gateway/src/request/relay/failover.rs
@@ -62,7 +62,7 @@
         let live = &run.place.live;
         let first = &live.path.first().incarnation;
         if !live.is_broken() && self.last_event.elapsed() >= STREAM_SILENCE_LIMIT {
-            self.gateway.pool.borrow_mut().give_up(first, self.last_event);
+            self.gateway.pool.borrow_mut().drop_idle_since(first, self.last_event);
         }
         match fault.evidence() {
             FaultEvidence::Connection => check_first(&self.gateway, live),
@@ -271,7 +271,7 @@
         let live = self.run.as_ref().map(|run| &run.place.live);
         let parts = live.into_iter().flat_map(|live| &live.path.parts);
         let evaluations = parts.filter_map(|part| {
-            Some(format!("{}: {}", part.incarnation.id, gateway.judgement(&part.incarnation)?))
+            Some(format!("{}: {}", part.incarnation.id, gateway.failure_reason(&part.incarnation)?))
         });
         let engines = evaluations.collect::<Vec<_>>().join("; ");
         let has_other =
--- a/crates/gateway/src/request/relay/relay.rs
+++ b/crates/gateway/src/request/relay/relay.rs
@@ -203,7 +203,7 @@
         let now = Instant::now();
         let silent = now - self.last_event;
         if self.failovers > 0 && self.events.events() > 0 && silent > PATH_CHECK_SILENCE {
-            self.gateway.counters.mend.record(silent);
+            self.gateway.counters.repair_time.record(silent);
         }
         if self.path_state == PathState::Moved {
             self.path_state = PathState::Serving;
--- a/crates/gateway/src/request/run.rs
+++ b/crates/gateway/src/request/run.rs
@@ -1,6 +1,6 @@
 //! Starts a stream's run on a path of engines, and reserves capacity for it there.
 
-use crate::process::{Gateway, LivePath, NoPlace, PathPlace, take_place};
+use crate::process::{Gateway, LivePath, NoPlace, PathReservation, reserve_path};
 use crate::request::estimate::expected_tokens;
 use crate::request::{Call, Exchange, FailedAttempt, Target, attempt};
 use http::Response;
@@ -18,7 +18,7 @@
 /// A stream whose answer has started on a path, with its reservation there.
 pub(crate) struct Run {
     pub(crate) exchange: Exchange,
-    pub(crate) place: PathPlace,
+    pub(crate) place: PathReservation,
 }
 
 /// Why a run did not start.
@@ -42,7 +42,7 @@
     attempts: &Attempts,
     avoid: &[Rc<LivePath>],
     until: Instant,
-) -> Result<PathPlace, NoPlace> {
+) -> Result<PathReservation, NoPlace> {
     loop {
         let res = try_take_place(gateway, call, attempts, avoid);
         let Err(none) = res else { return res };
@@ -60,14 +60,14 @@
     call: &Call,
     attempts: &Attempts,
     avoid: &[Rc<LivePath>],
-) -> Result<PathPlace, NoPlace> {
+) -> Result<PathReservation, NoPlace> {
     let may_take = |live: &Rc<LivePath>| {
         attempts.may_send_to(&live.path.first().incarnation)
             && !avoid.iter().any(|other| Rc::ptr_eq(other, live))
     };
     let own = &gateway.settings.data_centre;
     let tokens = expected_tokens(call);
-    take_place(&gateway.paths, &call.service, tokens, own, may_take, Instant::now())
+    reserve_path(&gateway.paths, &call.service, tokens, own, may_take, Instant::now())
 }
 
 /// Returns whether a silent stream could continue over another path. Without one its run is kept, as it may still
@@ -89,14 +89,14 @@
     call.route.semantics.may_repeat()
         && gateway.may_resume()
         && gateway.may_repeat(&call.service)
-        && paths.has_place(&call.service, tokens, may_take, Instant::now())
+        && paths.has_capacity(&call.service, tokens, may_take, Instant::now())
 }
 
 /// Sends a stream's request over a path and waits for the head of its answer.
 pub(super) async fn send(
     gateway: &Rc<Gateway>,
     call: &Call,
-    place: PathPlace,
+    place: PathReservation,
     last_event: Option<u64>,
 ) -> Result<Run, FailedAttempt> {
     let live = Rc::clone(&place.live);
--- a/crates/gateway/src/request/run_search.rs
+++ b/crates/gateway/src/request/run_search.rs
@@ -1,6 +1,6 @@
 //! Starts a stream's run, trying further paths of engines while attempts are left.
 
-use crate::process::{Gateway, LivePath, PathPlace, check_first, check_path, check_refuser};
+use crate::process::{Gateway, LivePath, PathReservation, check_first, check_path, check_refuser};
 use crate::request::run::{
     NotStarted, RETRY_AFTER_FULL, Run, send, try_take_place, wait_for_place,
 };
@@ -157,7 +157,7 @@
     }
 
     /// Reserves a place for the next attempt and charges the retry budget if it is a repeat.
-    async fn next_place(&mut self, capacity_until: Instant) -> Result<PathPlace, NotStarted> {
+    async fn next_place(&mut self, capacity_until: Instant) -> Result<PathReservation, NotStarted> {
         if self.call.time_left().is_zero() {
             return Err(NotStarted::DeadlinePassed);
         }
@@ -176,7 +176,7 @@
     }
 
     /// Does the same for an attempt in parallel with the open one; `None` if none may be sent now.
-    fn hedge_place(&mut self) -> Option<PathPlace> {
+    fn hedge_place(&mut self) -> Option<PathReservation> {
         let (gateway, call) = (self.gateway, self.call);
         if gateway.is_ending() || !gateway.may_repeat(&call.service) {
             return None;
@@ -187,7 +187,7 @@
         gateway.spend_repeat(&call.service).then_some(place)
     }
 
-    fn on_sent(&mut self, place: &PathPlace) -> SentAttempt {
+    fn on_sent(&mut self, place: &PathReservation) -> SentAttempt {
         let now = Instant::now();
         self.attempts.on_sent(&place.live.path.first().incarnation);
         SentAttempt {
