--- a/crates/gateway/src/process/gateway.rs
+++ b/crates/gateway/src/process/gateway.rs
@@ -1,7 +1,7 @@
 //! What all parts of a gateway share.
 
 use crate::process::{
-    Beliefs, Count, Counters, LivePath, PathBook, Pool, ReportedSuspect, SUSPECT_FOR, StoreHeard,
+    Beliefs, Count, Counters, LivePath, PathBook, Pool, ReportedSuspect, SUSPECT_FOR, StoreContact,
     ToldFaults,
 };
 use sorrellock_core::clock::SystemClock;
@@ -77,7 +77,7 @@
     /// This gateway places layers.
     pub(crate) leads: Cell<bool>,
     /// When the store last told this gateway all that it had.
-    pub(crate) store_heard: StoreHeard,
+    pub(crate) store_heard: StoreContact,
     /// The newest era of the store that was heard of.
     pub(crate) eras: StoreEras,
     /// When that became known.
@@ -127,7 +127,7 @@
             budgets: RefCell::default(),
             stream_paces: RefCell::default(),
             leads: Cell::new(false),
-            store_heard: StoreHeard::default(),
+            store_heard: StoreContact::default(),
             eras: StoreEras::default(),
             era_began: Cell::new(None),
             store_failed: Cell::new(None),
--- a/crates/gateway/src/process/store/store_heard.rs
+++ b/crates/gateway/src/process/store/store_heard.rs
@@ -10,7 +10,7 @@
 
 /// What is heard of the store, for the kinds that are watched.
 #[derive(Debug, Default)]
-pub(crate) struct StoreHeard {
+pub(crate) struct StoreContact {
     configuration: KindHeard,
     endpoints: KindHeard,
 }
@@ -23,7 +23,7 @@
     doubt: Notify,
 }
 
-impl StoreHeard {
+impl StoreContact {
     /// The store told all that it has of a kind, in an era.
     pub(crate) fn set(&self, kind: Kind, era: StoreEra, at: Instant) {
         if let Some(of_kind) = self.of(kind) {
