--- a/crates/gateway/src/process/gateway.rs
+++ b/crates/gateway/src/process/gateway.rs
@@ -77,7 +77,7 @@
     /// This gateway places layers.
     pub(crate) leads: Cell<bool>,
     /// When the store last told this gateway all that it had.
-    pub(crate) store_heard: StoreContact,
+    pub(crate) store_contact: StoreContact,
     /// The newest era of the store that was heard of.
     pub(crate) eras: StoreEras,
     /// When that became known.
@@ -127,7 +127,7 @@
             budgets: RefCell::default(),
             stream_paces: RefCell::default(),
             leads: Cell::new(false),
-            store_heard: StoreContact::default(),
+            store_contact: StoreContact::default(),
             eras: StoreEras::default(),
             era_began: Cell::new(None),
             store_failed: Cell::new(None),
@@ -225,7 +225,7 @@
         let (routes, workspaces) = (cfg.routes.len(), cfg.workspaces.len());
         let before = self.knowledge.borrow().config_version();
         let now = Instant::now();
-        let heard_ms = self.store_heard.age_ms(Kind::Configuration, now);
+        let heard_ms = self.store_contact.age_ms(Kind::Configuration, now);
         if !self.knowledge.borrow_mut().apply_configuration(cfg, now.into_std()) {
             return;
         }
--- a/crates/gateway/src/process/listeners.rs
+++ b/crates/gateway/src/process/listeners.rs
@@ -96,7 +96,7 @@
     let endpoints = knowledge.endpoints().count() as f64;
     let now = Instant::now();
     // Not a number before the store was heard.
-    let age = |kind| gateway.store_heard.age_ms(kind, now).map_or(f64::NAN, |ms| ms as f64);
+    let age = |kind| gateway.store_contact.age_ms(kind, now).map_or(f64::NAN, |ms| ms as f64);
     gateway.counters.page(&[
         ("in_flight", in_flight),
         ("config_version", version),
--- a/crates/gateway/src/process/peers/beliefs.rs
+++ b/crates/gateway/src/process/peers/beliefs.rs
@@ -42,7 +42,7 @@
 
 impl Peer {
     /// How long ago the store told it itself all that it had of a kind.
-    pub(crate) fn store_heard(&self, kind: Kind, now: Instant) -> Option<Duration> {
+    pub(crate) fn store_contact(&self, kind: Kind, now: Instant) -> Option<Duration> {
         let told_ms = match kind {
             Kind::Configuration => self.message.configuration_heard_ms,
             Kind::Endpoints => self.message.endpoints_heard_ms,
@@ -199,8 +199,9 @@
 
     /// How many live gateways were told of the endpoints by the store within `age`.
     pub(crate) fn watchers(&self, age: Duration, now: Instant) -> usize {
-        let heard =
-            |peer: &&Peer| peer.store_heard(Kind::Endpoints, now).is_some_and(|heard| heard < age);
+        let heard = |peer: &&Peer| {
+            peer.store_contact(Kind::Endpoints, now).is_some_and(|heard| heard < age)
+        };
         self.live_peers(now).filter(heard).count()
     }
 
--- a/crates/gateway/src/process/peers/catch_up.rs
+++ b/crates/gateway/src/process/peers/catch_up.rs
@@ -62,7 +62,7 @@
                 let parsing = answered.elapsed();
                 if handover.configuration.is_some() {
                     // A watch that lives would have brought it sooner.
-                    self.gateway.store_heard.doubt(Kind::Configuration);
+                    self.gateway.store_contact.doubt(Kind::Configuration);
                 }
                 let version = handover.configuration.as_ref().map_or(0, |cfg| cfg.version);
                 let Revision { era, count } = handover.endpoints_at;
@@ -73,7 +73,7 @@
                 warn!("not caught up from a gateway", kv: { instance, err = err.as_str() });
                 self.sources.borrow_mut().on_failure(instance, Instant::now().into_std());
                 // What the other one knows, the store can tell.
-                self.gateway.store_heard.doubt_all();
+                self.gateway.store_contact.doubt_all();
             }
         }
     }
--- a/crates/gateway/src/process/peers/peers.rs
+++ b/crates/gateway/src/process/peers/peers.rs
@@ -99,7 +99,7 @@
             tokens: load.tokens.max(0.0) as u32,
             streams: load.streams,
         };
-        let heard_ms = |kind| gateway.store_heard.age_ms(kind, now).map(|ms| ms as u32);
+        let heard_ms = |kind| gateway.store_contact.age_ms(kind, now).map(|ms| ms as u32);
         PeerMessage {
             instance: gateway.settings.instance.clone(),
             incarnation: gateway.incarnation,
--- a/crates/gateway/src/process/store/eras.rs
+++ b/crates/gateway/src/process/store/eras.rs
@@ -38,8 +38,9 @@
     fn on_era(&self, era: StoreEra, before: StoreEra, told_by: &str) {
         let now = Instant::now();
         let ages = [Kind::Configuration, Kind::Endpoints];
-        let [configuration_ms, endpoints_ms] = ages.map(|kind| self.store_heard.age_ms(kind, now));
-        self.store_heard.forget_before(era);
+        let [configuration_ms, endpoints_ms] =
+            ages.map(|kind| self.store_contact.age_ms(kind, now));
+        self.store_contact.forget_before(era);
         self.era_began.set(Some(now));
         self.counters.add(Count::StoreEras);
         warn!("era of the store began", kv: {
--- a/crates/gateway/src/process/store/store_heard.rs
+++ b/crates/gateway/src/process/store/store_contact.rs
@@ -107,8 +107,8 @@
         let peers = beliefs.live_peers(now).filter(|peer| {
             peer.message.store_era == era && !is_ahead(kind, &peer.message.known, &known)
         });
-        let told = peers.filter_map(|peer| peer.store_heard(kind, now));
-        told.chain(self.store_heard.age(kind, now)).min()
+        let told = peers.filter_map(|peer| peer.store_contact(kind, now));
+        told.chain(self.store_contact.age(kind, now)).min()
     }
 
     /// A call of the store failed.
@@ -116,7 +116,7 @@
         self.counters.add(Count::StoreFailures);
         self.store_failed.set(Some(Instant::now()));
         if err.is_silence() {
-            self.store_heard.doubt_all();
+            self.store_contact.doubt_all();
         }
     }
 }
--- a/crates/gateway/src/process/store/watcher.rs
+++ b/crates/gateway/src/process/store/watcher.rs
@@ -126,7 +126,7 @@
     /// that is heard was told of the store's state for too long.
     async fn doubted(&self) {
         tokio::select! {
-            () = self.gateway.store_heard.doubted(self.kind) => {}
+            () = self.gateway.store_contact.doubted(self.kind) => {}
             () = self.grown_old() => {}
         }
     }
@@ -165,7 +165,7 @@
 
     /// All that the store told is taken in.
     fn note_heard(&self, era: StoreEra) {
-        self.gateway.store_heard.set(self.kind, era, Instant::now());
+        self.gateway.store_contact.set(self.kind, era, Instant::now());
     }
 
     fn on_endpoints_known(&self, at: Revision, source: &str) {
@@ -225,7 +225,7 @@
         if self.lost_since.is_none() {
             let (kind, text) = (format!("{:?}", self.kind), err.to_string());
             let asked_ms = self.asked.elapsed().as_millis() as u64;
-            let heard_ms = self.gateway.store_heard.age_ms(self.kind, Instant::now());
+            let heard_ms = self.gateway.store_contact.age_ms(self.kind, Instant::now());
             warn!("store lost", kv: {
                 kind = kind.as_str(), err = text.as_str(), asked_ms, heard_ms:?
             });
