--- a/crates/gateway/src/process/gateway.rs
+++ b/crates/gateway/src/process/gateway.rs
@@ -1,8 +1,8 @@
 //! What all parts of a gateway share.
 
 use crate::process::{
-    Beliefs, Count, Counters, LivePath, PathBook, Pool, ReportedSuspect, SUSPECT_FOR, StoreContact,
-    ToldFaults,
+    Beliefs, Count, Counters, LivePath, LoggedFaults, PathBook, Pool, ReportedSuspect, SUSPECT_FOR,
+    StoreContact,
 };
 use sorrellock_core::clock::SystemClock;
 use sorrellock_core::process::retries::Breakers;
@@ -66,7 +66,7 @@
     /// Which incarnation of each endpoint is the present one.
     pub(crate) incarnations: RefCell<Incarnations>,
     /// Faults of objects in the store that the log has told.
-    pub(crate) told_faults: RefCell<ToldFaults>,
+    pub(crate) told_faults: RefCell<LoggedFaults>,
     pub(crate) paths: Rc<RefCell<PathBook>>,
     pub(crate) pool: RefCell<Pool>,
     pub(crate) uses: RefCell<HashMap<Incarnation, EndpointUse>>,
--- a/crates/gateway/src/process/store/told_faults.rs
+++ b/crates/gateway/src/process/store/told_faults.rs
@@ -8,11 +8,11 @@
 
 /// What the log has told of objects in the store that can't be used: each fault once.
 #[derive(Default)]
-pub(crate) struct ToldFaults {
+pub(crate) struct LoggedFaults {
     told: HashSet<String>,
 }
 
-impl ToldFaults {
+impl LoggedFaults {
     /// Whether an object's fault wasn't told yet. A value that changes with each write is no news.
     pub(crate) fn is_news(&mut self, name: &str, fault: &EntryFault) -> bool {
         if self.told.len() >= MOST_TOLD {
