--- a/crates/gateway/src/process/gateway.rs
+++ b/crates/gateway/src/process/gateway.rs
@@ -66,7 +66,7 @@
     /// Which incarnation of each endpoint is the present one.
     pub(crate) incarnations: RefCell<Incarnations>,
     /// Faults of objects in the store that the log has told.
-    pub(crate) told_faults: RefCell<LoggedFaults>,
+    pub(crate) logged_faults: RefCell<LoggedFaults>,
     pub(crate) paths: Rc<RefCell<PathBook>>,
     pub(crate) pool: RefCell<Pool>,
     pub(crate) uses: RefCell<HashMap<Incarnation, EndpointUse>>,
@@ -119,7 +119,7 @@
             knowledge,
             beliefs: RefCell::default(),
             incarnations: RefCell::default(),
-            told_faults: RefCell::default(),
+            logged_faults: RefCell::default(),
             paths: Rc::default(),
             pool: RefCell::default(),
             uses: RefCell::default(),
--- a/crates/gateway/src/process/store/entries.rs
+++ b/crates/gateway/src/process/store/entries.rs
@@ -114,7 +114,7 @@
             return;
         }
         self.counters.add(Count::from(fault.kind()));
-        if self.told_faults.borrow_mut().is_news(id, &fault) {
+        if self.logged_faults.borrow_mut().is_news(id, &fault) {
             let (endpoint, why) = (cut(id, FOUND_MOST), fault.to_string());
             let known = refusal != Refusal::OfUnknown;
             warn!("entry of an endpoint can't be used", kv: {
@@ -131,7 +131,7 @@
     pub(crate) fn refuse_nameless(&self, faults: &[EntryFault], kind: &str) {
         for fault in faults {
             self.counters.add(Count::NamelessObjects);
-            if self.told_faults.borrow_mut().is_news(kind, fault) {
+            if self.logged_faults.borrow_mut().is_news(kind, fault) {
                 let why = fault.to_string();
                 warn!("object without a name that can be read", kv: { kind, why = why.as_str() });
             }
@@ -156,7 +156,7 @@
         fault: &EntryFault,
     ) {
         self.counters.add(count);
-        if self.told_faults.borrow_mut().is_news(&format!("{what}/{name}"), fault) {
+        if self.logged_faults.borrow_mut().is_news(&format!("{what}/{name}"), fault) {
             let (name, why) = (cut(name, FOUND_MOST), fault.to_string());
             warn!("{}", what, kv: { name = name.as_str(), why = why.as_str() });
         }
--- a/crates/gateway/src/process/store/mod.rs
+++ b/crates/gateway/src/process/store/mod.rs
@@ -6,8 +6,8 @@
 mod eras;
 mod handed_over;
 mod incarnations;
+mod logged_faults;
 mod store_contact;
-mod told_faults;
 mod watch_sharing;
 mod watcher;
 
@@ -16,6 +16,6 @@
 pub(crate) use entries::*;
 pub(crate) use eras::follow_eras;
 pub(crate) use incarnations::*;
+pub(crate) use logged_faults::*;
 pub(crate) use store_contact::*;
-pub(crate) use told_faults::*;
 pub(crate) use watcher::follow;
