--- a/crates/gateway/src/process/peers/peers.rs
+++ b/crates/gateway/src/process/peers/peers.rs
@@ -244,7 +244,7 @@
         beliefs.peers.insert(instance.clone(), Peer { addr: from, message, heard: now });
         drop(beliefs);
         for end in &ended {
-            gateway.hear_end(end, &instance);
+            gateway.receive_end(end, &instance);
         }
         for incarnation in &left {
             is_changed |= gateway.remove_missing(incarnation, &instance);
--- a/crates/gateway/src/process/store/incarnations.rs
+++ b/crates/gateway/src/process/store/incarnations.rs
@@ -166,7 +166,7 @@
     }
 
     /// Another gateway found the end of an incarnation.
-    pub(crate) fn hear_end(&self, end: &EndedIncarnation, instance: &str) {
+    pub(crate) fn receive_end(&self, end: &EndedIncarnation, instance: &str) {
         let EndedIncarnation { ended, successor } = end;
         let now = Instant::now().into_std();
         if !self.incarnations.borrow_mut().on_end_told(ended, *successor, now) {
