--- a/crates/gateway/src/process/peers/catch_up.rs
+++ b/crates/gateway/src/process/peers/catch_up.rs
@@ -73,7 +73,7 @@
                 warn!("not caught up from a gateway", kv: { instance, err = err.as_str() });
                 self.sources.borrow_mut().on_failure(instance, Instant::now().into_std());
                 // What the other one knows, the store can tell.
-                self.gateway.store_contact.doubt_all();
+                self.gateway.store_contact.suspect_watches();
             }
         }
     }
--- a/crates/gateway/src/process/store/store_contact.rs
+++ b/crates/gateway/src/process/store/store_contact.rs
@@ -59,7 +59,7 @@
     }
 
     /// Another call of the store had no answer: all watches may wait in vain.
-    pub(crate) fn doubt_all(&self) {
+    pub(crate) fn suspect_watches(&self) {
         self.configuration.doubt.notify_waiters();
         self.endpoints.doubt.notify_waiters();
     }
@@ -116,7 +116,7 @@
         self.counters.add(Count::StoreFailures);
         self.store_failed.set(Some(Instant::now()));
         if err.is_silence() {
-            self.store_contact.doubt_all();
+            self.store_contact.suspect_watches();
         }
     }
 }
