--- a/crates/gateway/src/process/peers/catch_up.rs
+++ b/crates/gateway/src/process/peers/catch_up.rs
@@ -62,7 +62,7 @@
                 let parsing = answered.elapsed();
                 if handover.configuration.is_some() {
                     // A watch that lives would have brought it sooner.
-                    self.gateway.store_contact.doubt(Kind::Configuration);
+                    self.gateway.store_contact.suspect_watch(Kind::Configuration);
                 }
                 let version = handover.configuration.as_ref().map_or(0, |cfg| cfg.version);
                 let Revision { era, count } = handover.endpoints_at;
--- a/crates/gateway/src/process/store/store_contact.rs
+++ b/crates/gateway/src/process/store/store_contact.rs
@@ -20,7 +20,7 @@
     /// When the store last told this gateway all that it had, and in which era.
     at: Cell<Option<(StoreEra, Instant)>>,
     /// Wakes a watch that waits for news: it may wait in vain.
-    doubt: Notify,
+    suspect_watch: Notify,
 }
 
 impl StoreContact {
@@ -52,22 +52,22 @@
     }
 
     /// A watch of a kind may wait in vain.
-    pub(crate) fn doubt(&self, kind: Kind) {
+    pub(crate) fn suspect_watch(&self, kind: Kind) {
         if let Some(of_kind) = self.of(kind) {
-            of_kind.doubt.notify_waiters();
+            of_kind.suspect_watch.notify_waiters();
         }
     }
 
     /// Another call of the store had no answer: all watches may wait in vain.
     pub(crate) fn suspect_watches(&self) {
-        self.configuration.doubt.notify_waiters();
-        self.endpoints.doubt.notify_waiters();
+        self.configuration.suspect_watch.notify_waiters();
+        self.endpoints.suspect_watch.notify_waiters();
     }
 
     /// Ends once something casts doubt on a watch of a kind.
     pub(crate) async fn doubted(&self, kind: Kind) {
         match self.of(kind) {
-            Some(of_kind) => of_kind.doubt.notified().await,
+            Some(of_kind) => of_kind.suspect_watch.notified().await,
             None => std::future::pending().await,
         }
     }
