--- a/crates/gateway/src/process/placer/lead.rs
+++ b/crates/gateway/src/process/placer/lead.rs
@@ -1,9 +1,9 @@
-//! Which gateway places layers: an object in the store, written under a condition.
+//! Election of the gateway that places layers, by a conditional write to an object in the store.
 //!
-//! Two leads at once do no harm beyond needless orders: each order names the count of orders that
-//! its sender has seen the engine begin, and the engine refuses it if there were others.
+//! Two leads at once only cause needless orders: each order carries the number of orders that its
+//! sender has seen the engine begin, and the engine refuses it if it has begun others.
 //!
-//! Once the store has come back from a copy, a lead gives no orders until it has taken the object again.
+//! After the store is restored from an older copy, a lead sends no orders until it has written the object again.
 
 use crate::process::{Count, Gateway};
 use sorrellock_platform::{Kind, Store, StoreError, StoredObject};
@@ -15,35 +15,37 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep};
 
-/// How often it is looked at who leads.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
-/// How often a lead confirms its object: a lead that lost it gives orders for no longer.
+/// How often a gateway that doesn't lead checks whether to take over.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// How often a lead rereads its object, which bounds how long one that lost it goes on sending orders.
 const CONFIRM_INTERVAL: Duration = Duration::from_secs(4);
-/// Silence of the lead after which the first gateway takes over: ten of its messages.
-const SILENCE: Duration = Duration::from_millis(1_000);
-/// What each further gateway, in order of name, waits on top.
-const SILENCE_PER_RANK: Duration = Duration::from_millis(300);
-/// Turns of the event loop in which the messages that have come are read.
+/// Silence of the lead after which the first gateway takes over: ten of the lead's messages.
+const LEAD_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Additional silence for each further gateway, in order of name.
+const LEAD_TIMEOUT_PER_RANK: Duration = Duration::from_millis(300);
+/// Turns of the event loop that are left for reading messages that have already arrived.
 const TURNS_TO_READ: u32 = 4;
-/// Silence after which the first gateway leads without the store, while that can't be reached.
-const SILENCE_WITHOUT_STORE: Duration = Duration::from_secs(3);
-/// A failed call of the store within this time, with no other gateway heard, means a cut: calls
-/// are repeated within a second.
-const ISOLATION_DOUBT: Duration = Duration::from_secs(3);
+/// Silence after which the first gateway leads without the store, while the store is unreachable.
+const LEAD_TIMEOUT_WITHOUT_STORE: Duration = Duration::from_secs(3);
+/// A failed store call within this time, while no other gateway is reachable, means that this gateway
+/// is isolated: failed calls are repeated within a second.
+const ISOLATION_WINDOW: Duration = Duration::from_secs(3);
 /// Name of the lead's object.
 const LEAD_NAME: &str = "placement";
 
-/// One gateway's part in the election.
+/// One gateway's state in the election.
 pub(crate) struct Lead {
     gateway: Rc<Gateway>,
     store: Store,
-    /// While this gateway leads.
+    /// The term of this gateway; `None` unless it leads.
     term: Option<LeadTerm>,
-    confirmed: Instant,
-    /// The call under way that confirms it: orders don't wait for a store that is silent.
+    /// When the object was last taken, or a reread of it was last started.
+    confirmed_at: Instant,
+    /// Result of the pending reread of the object. Orders don't wait for an unresponsive store.
     confirming: Option<oneshot::Receiver<Result<Option<LeadRecord>, StoreError>>>,
-    /// When a lead was last heard, or nobody was yet.
-    heard: Instant,
+    /// When a lead last sent a message. Without one: when this gateway started, lost the lead or lost a write conflict.
+    last_contact: Instant,
+    /// The earliest time for the next attempt to take over.
     try_after: Instant,
 }
 
@@ -54,22 +56,22 @@
             gateway,
             store,
             term: None,
-            confirmed: now,
+            confirmed_at: now,
             confirming: None,
-            heard: now,
+            last_contact: now,
             try_after: now,
         }
     }
 
-    /// Looks anew who leads, after a little while unless this gateway does. The term, while it does.
-    pub(crate) async fn look(&mut self) -> Option<Revision> {
+    /// Checks who leads, after a short sleep unless this gateway does. Returns its term while it leads.
+    pub(crate) async fn check(&mut self) -> Option<Revision> {
         match self.term {
             Some(term) if term.must_be_taken_again(self.gateway.eras.known()) => {
-                self.keep(term).await;
+                self.retake(term).await;
             }
             Some(term) => self.confirm(term),
             None => {
-                sleep(LOOK_INTERVAL).await;
+                sleep(CHECK_INTERVAL).await;
                 self.try_to_lead().await;
             }
         }
@@ -77,46 +79,46 @@
     }
 
     fn confirm(&mut self, term: LeadTerm) {
-        if let Some(other) = self.heard_term().filter(|other| term.gives_way_to(*other)) {
+        if let Some(other) = self.announced_term().filter(|other| term.gives_way_to(*other)) {
             return self.step_down(&format!("a gateway leads with term {other}"));
         }
         if self.is_isolated() {
-            return self.step_down("neither the store nor another gateway is heard");
+            return self.step_down("neither the store nor another gateway is reachable");
         }
         if let Some(end) = self.confirming.as_mut().and_then(|end| end.try_recv().ok()) {
             self.confirming = None;
             self.on_confirmed(term, end);
-        } else if self.confirming.is_none() && self.confirmed.elapsed() >= CONFIRM_INTERVAL {
-            self.confirmed = Instant::now();
+        } else if self.confirming.is_none() && self.confirmed_at.elapsed() >= CONFIRM_INTERVAL {
+            self.confirmed_at = Instant::now();
             self.start_to_confirm();
         }
     }
 
-    /// Takes the object again, in a new era of the store. Orders wait for it.
-    async fn keep(&mut self, term: LeadTerm) {
-        if let Some(other) = self.heard_term().filter(|other| term.gives_way_to(*other)) {
+    /// Writes the object again in a new era of the store. Orders wait for it.
+    async fn retake(&mut self, term: LeadTerm) {
+        if let Some(other) = self.announced_term().filter(|other| term.gives_way_to(*other)) {
             return self.step_down(&format!("a gateway leads with term {other}"));
         }
         self.confirming = None;
         match self.take().await {
             Ok(kept) => {
                 self.term = Some(kept);
-                self.confirmed = Instant::now();
+                self.confirmed_at = Instant::now();
                 self.gateway.note_rewritten(Kind::Leads, LEAD_NAME);
                 let Revision { era, count } = kept.revision();
                 let before_era = term.revision().era;
                 info!("lead kept", kv: { term = count, era, before_era });
             }
-            // The next era is there already.
+            // Another era has begun meanwhile; the next round tries again.
             Err(StoreError::HistoryGone | StoreError::Outdated { .. }) => {}
             Err(err) => {
                 self.gateway.on_store_failed(&err);
-                self.step_down(&format!("its object is not taken in the store's new era: {err}"));
+                self.step_down(&format!("can't write its object in the store's new era: {err}"));
             }
         }
     }
 
-    /// Reads the lead's object without waiting for it.
+    /// Starts to read the lead's object, without waiting for the result.
     fn start_to_confirm(&mut self) {
         self.gateway.counters.add(Count::StoreCalls);
         let (tx, rx) = oneshot::channel();
@@ -124,9 +126,9 @@
         let store = self.store.clone();
         tokio::task::spawn_local(async move {
             let object = store.get(Kind::Leads, LEAD_NAME).await;
-            // An object that can't be read doesn't name this gateway.
+            // An unreadable object doesn't name this gateway.
             let record = object.map(|object| object.read::<LeadRecord>().ok());
-            // A gateway that leads no more needs no answer.
+            // The receiver is gone once this gateway has stepped down.
             let _ = tx.send(record);
         });
     }
@@ -137,7 +139,7 @@
                 if record.names(&self.gateway.settings.instance, self.gateway.incarnation) => {}
             Ok(_) => self.step_down("the lead's object names another gateway"),
             Err(err) => {
-                // Without the store nobody else can take over in order, so it leads on.
+                // Without the store no other gateway can be elected, so this one goes on.
                 self.gateway.on_store_failed(&err);
                 let text = err.to_string();
                 let Revision { era, count } = term.revision();
@@ -146,21 +148,21 @@
         }
     }
 
-    /// Cut off from the store and from all other gateways, of which there are some: another one
-    /// leads by now.
+    /// Returns whether this gateway reaches neither the store nor any of the other registered gateways:
+    /// another one may lead by now.
     fn is_isolated(&self) -> bool {
         let beliefs = self.gateway.beliefs.borrow();
-        let is_alone = beliefs.live_peers(Instant::now()).next().is_none();
+        let has_no_peers = beliefs.live_peers(Instant::now()).next().is_none();
         let failed = self.gateway.store_failed.get();
-        let is_cut = failed.is_some_and(|failed| failed.elapsed() < ISOLATION_DOUBT);
-        is_alone && is_cut && beliefs.registered > 1
+        let store_fails = failed.is_some_and(|failed| failed.elapsed() < ISOLATION_WINDOW);
+        has_no_peers && store_fails && beliefs.registered > 1
     }
 
     fn step_down(&mut self, why: &str) {
         let term = self.term.take().map(LeadTerm::revision);
         let Revision { era, count } = term.unwrap_or_default();
         self.confirming = None;
-        self.heard = Instant::now();
+        self.last_contact = Instant::now();
         info!("lead lost", kv: { term = count, era, why });
     }
 
@@ -168,7 +170,7 @@
         if !self.may_take_over() {
             return;
         }
-        // After a pause of this process the lead's messages may be there, unread.
+        // After a pause of this process the lead's messages may have arrived, but be unread.
         for _ in 0..TURNS_TO_READ {
             yield_now().await;
         }
@@ -176,14 +178,15 @@
             return;
         }
         let now = Instant::now();
-        let (silence, rank) = (now - self.heard, self.rank(now));
-        self.try_after = now + SILENCE;
+        let (silence, rank) = (now - self.last_contact, self.rank(now));
+        self.try_after = now + LEAD_TIMEOUT;
         match self.take().await {
             Ok(term) => self.begin(term, "the object in the store names it"),
-            Err(StoreError::Conflict) => self.heard = Instant::now(),
-            Err(err) if rank == 0 && silence > SILENCE_WITHOUT_STORE => {
-                let term = LeadTerm::without_store(self.heard_term(), self.gateway.eras.known());
-                self.begin(term, &format!("no lead was heard, and {err}"));
+            Err(StoreError::Conflict) => self.last_contact = Instant::now(),
+            Err(err) if rank == 0 && silence > LEAD_TIMEOUT_WITHOUT_STORE => {
+                let term =
+                    LeadTerm::without_store(self.announced_term(), self.gateway.eras.known());
+                self.begin(term, &format!("no message of a lead arrived, and {err}"));
             }
             Err(err) => {
                 self.gateway.on_store_failed(&err);
@@ -195,13 +198,13 @@
 
     fn begin(&mut self, term: LeadTerm, why: &str) {
         self.term = Some(term);
-        self.confirmed = Instant::now();
+        self.confirmed_at = Instant::now();
         let Revision { era, count } = term.revision();
         info!("lead taken", kv: { term = count, era, why });
     }
 
-    /// Writes this gateway into the lead's object. The write changes it also where it names this one: of two gateways that read the
-    /// same object, one that it names and one that it doesn't, one alone takes it.
+    /// Writes this gateway into the lead's object. The write changes the object even if it names this gateway already: of two
+    /// gateways that read the same object, one of which it names, only one succeeds.
     async fn take(&self) -> Result<LeadTerm, StoreError> {
         self.gateway.counters.add(Count::StoreCalls);
         let Gateway { settings, incarnation, .. } = &*self.gateway;
@@ -219,7 +222,7 @@
         written.map(LeadTerm::new)
     }
 
-    /// What the lead's object tells. One that can't be read names nobody, and is written over.
+    /// Decodes the lead's object. An unreadable one counts as naming nobody, and is overwritten.
     fn read_record(&self, object: &StoredObject) -> Option<LeadRecord> {
         let record = object.read();
         record
@@ -230,28 +233,28 @@
             .ok()
     }
 
-    /// Whether the lead has been silent for so long that this gateway takes over.
+    /// Returns whether the lead has been silent for so long that this gateway takes over.
     fn may_take_over(&mut self) -> bool {
         let now = Instant::now();
-        if let Some(heard) = self.lead_heard() {
-            self.heard = self.heard.max(heard);
+        if let Some(last_contact) = self.lead_last_contact() {
+            self.last_contact = self.last_contact.max(last_contact);
         }
-        let silence = now - self.heard;
-        let is_silent = silence >= SILENCE + SILENCE_PER_RANK * self.rank(now);
+        let silence = now - self.last_contact;
+        let is_silent = silence >= LEAD_TIMEOUT + LEAD_TIMEOUT_PER_RANK * self.rank(now);
         is_silent && now >= self.try_after && !self.is_isolated()
     }
 
-    fn heard_term(&self) -> Option<Revision> {
+    fn announced_term(&self) -> Option<Revision> {
         let beliefs = self.gateway.beliefs.borrow();
         beliefs.lead(Instant::now()).map(|(view, _)| view.term)
     }
 
-    fn lead_heard(&self) -> Option<Instant> {
+    fn lead_last_contact(&self) -> Option<Instant> {
         let beliefs = self.gateway.beliefs.borrow();
-        beliefs.lead(Instant::now()).map(|(_, heard)| heard)
+        beliefs.lead(Instant::now()).map(|(_, last_contact)| last_contact)
     }
 
-    /// How many live gateways come before this one, by name.
+    /// Returns how many live gateways precede this one in order of name.
     fn rank(&self, now: Instant) -> u32 {
         self.gateway.beliefs.borrow().rank(&self.gateway.settings.instance, now)
     }
--- a/crates/gateway/src/process/placer/mod.rs
+++ b/crates/gateway/src/process/placer/mod.rs
@@ -1,4 +1,4 @@
-//! The lead's work: follows the engines by their reports and orders the layers that each holds.
+//! Layer placement by the lead: polls the engines for reports and orders the layers that each holds.
 
 mod engine;
 mod lead;
--- a/crates/gateway/src/process/placer/orders.rs
+++ b/crates/gateway/src/process/placer/orders.rs
@@ -1,4 +1,4 @@
-//! Gives orders to engines.
+//! Sends orders to engines.
 
 use super::{Engines, Placer};
 use crate::process::{Count, Gateway};
@@ -10,51 +10,51 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time for an order to be accepted.
-const ORDER_LIMIT: Duration = Duration::from_millis(500);
-/// The wait after an order that was refused or brought no answer.
+/// Time limit for an engine to accept an order.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay before the next order after one that was refused or got no answer.
 pub(super) const ORDER_RETRY: Duration = Duration::from_millis(500);
-/// How long requests are kept off layers before they are given up: the lead's message, and
-/// requests on their way.
-const CLOSE_FIRST: Duration = Duration::from_millis(300);
+/// How long new requests are kept off layers before these are released: covers the delivery of the
+/// lead's message to the gateways, and requests already on their way.
+const DRAIN_TIME: Duration = Duration::from_millis(300);
 
 impl Placer {
-    /// Requests may use layers again that are not to be given up any more.
-    pub(super) fn reopen(&self, endpoints: &[Endpoint], steps: &[Step]) {
+    /// Lets requests use layers again that no step releases any more.
+    pub(super) fn cancel_drains(&self, endpoints: &[Endpoint], steps: &[Step]) {
         let mut engines = self.engines.borrow_mut();
         for endpoint in endpoints {
             let Some(engine) = engines.get_mut(&endpoint.incarnation()) else { continue };
-            let gives_up = steps
+            let is_released = steps
                 .iter()
                 .any(|step| step.gives_up && step.incarnation == endpoint.incarnation());
-            if engine.ordered.is_none() && !gives_up {
-                engine.closing = None;
+            if engine.pending_order.is_none() && !is_released {
+                engine.draining = None;
             }
         }
     }
 
-    /// Engines with an order under way.
-    pub(super) fn moving(&self) -> usize {
-        self.engines.borrow().values().filter(|engine| engine.ordered.is_some()).count()
+    /// Returns how many engines have a pending order.
+    pub(super) fn pending_orders(&self) -> usize {
+        self.engines.borrow().values().filter(|engine| engine.pending_order.is_some()).count()
     }
 
-    /// Gives an order, or first keeps requests off the layers that it gives up.
+    /// Sends an order, after requests have been kept off the layers that it releases.
     pub(super) fn order(&self, step: Step, now: Instant) {
         let mut engines = self.engines.borrow_mut();
         let Some(engine) = engines.get_mut(&step.incarnation) else { return };
         if step.gives_up {
-            let (stay, since) = *engine.closing.get_or_insert((step.layers, now));
-            if stay != step.layers {
-                engine.closing = Some((step.layers, now));
+            let (kept, since) = *engine.draining.get_or_insert((step.layers, now));
+            if kept != step.layers {
+                engine.draining = Some((step.layers, now));
                 return;
             }
-            if now - since < CLOSE_FIRST {
+            if now - since < DRAIN_TIME {
                 return;
             }
         }
         let expected = engine.report.as_ref().map_or(0, |report| report.orders_begun);
-        engine.ordered = Some((step.layers, now));
-        let order = give_order(
+        engine.pending_order = Some((step.layers, now));
+        let order = send_order(
             Rc::clone(&self.gateway),
             Rc::clone(&self.engines),
             step,
@@ -65,8 +65,8 @@
     }
 }
 
-/// Gives one order and takes how it was received.
-pub(super) async fn give_order(
+/// Sends one order and handles its outcome.
+pub(super) async fn send_order(
     gateway: Rc<Gateway>,
     engines: Engines,
     step: Step,
@@ -74,7 +74,7 @@
     expected: u64,
 ) {
     gateway.counters.add(Count::Orders);
-    let end = order_layers(&client, step.layers, expected, ORDER_LIMIT).await;
+    let end = order_layers(&client, step.layers, expected, ORDER_TIMEOUT).await;
     let text = format!("{end:?}");
     let (from, to) = (step.layers.from, step.layers.to);
     info!("order given", kv: {
@@ -87,9 +87,9 @@
         engine.order_after = Instant::now() + ORDER_RETRY;
     }
     if matches!(end, OrderEnd::Refused { .. }) {
-        engine.ordered = None;
-        engine.closing = None;
+        engine.pending_order = None;
+        engine.draining = None;
     }
-    // What the engine does shows in its next report.
-    engine.asked = None;
+    // Requests a report at once: it shows what the engine does.
+    engine.requested_at = None;
 }
--- a/crates/gateway/src/process/placer/placer.rs
+++ b/crates/gateway/src/process/placer/placer.rs
@@ -1,7 +1,7 @@
-//! The lead's rounds: engines are followed, planned for, ordered and told of.
+//! The lead's rounds: polls the engines, plans their layers, sends orders and publishes the result.
 
 use super::lead::Lead;
-use super::reports::{ask, suspects};
+use super::reports::{request_report, suspects};
 use super::{Engine, Engines, Planned};
 use crate::process::{EngineView, Gateway, LeadView};
 use sorrellock_platform::{Client, Store};
@@ -17,15 +17,15 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// How often engines are asked for their report in quiet; each report is priced.
+/// How often an engine's report is requested while nothing changes; each report has a cost.
 const REPORT_INTERVAL: Duration = Duration::from_millis(1_500);
-/// How often an engine is asked while its layers move or it is suspected.
+/// The same while the engine's layers move, its last request failed, or it is suspected.
 const REPORT_INTERVAL_MOVING: Duration = Duration::from_millis(150);
-/// Engines that move at once while no requests wait for it: loads slow each other.
-const QUIET_MOVES: usize = 4;
-/// The same for a chain with a gap, or with far less room than it could have.
-const SCARCE_MOVES: usize = 8;
-/// The longest pause between two rounds of orders; news of engines ends it.
+/// Engines that change layers at once while no request waits for it: concurrent loads slow each other down.
+const MAX_MOVES: usize = 4;
+/// The same for a chain with a gap, or with far less capacity than it could have.
+const MAX_MOVES_SCARCE: usize = 8;
+/// The longest pause between two rounds; a change of any engine ends it.
 const ROUND_PAUSE: Duration = Duration::from_millis(100);
 
 /// Places layers while this gateway leads.
@@ -33,15 +33,16 @@
     pub(super) gateway: Rc<Gateway>,
     pub(super) own_view: Rc<RefCell<Option<LeadView>>>,
     pub(super) engines: Engines,
-    /// All engines were heard once, or are dead: what this lead tells is whole.
+    /// Whether every engine has reported once or is not expected to, so that the lead's view is complete.
     pub(super) is_complete: bool,
     pub(super) plans: HashMap<(ServiceName, DataCentre), Planned>,
-    /// Since when the chain of a data centre is whole, with these engines.
-    pub(super) whole: HashMap<(ServiceName, DataCentre), (BTreeSet<Incarnation>, Instant)>,
-    /// Since when no gateway has a stream under way.
+    /// Engines of a data centre that cover all layers, and since when none of them has left.
+    pub(super) whole_since: HashMap<(ServiceName, DataCentre), (BTreeSet<Incarnation>, Instant)>,
+    /// Since when no gateway has an open stream.
     pub(super) unused_since: Option<Instant>,
-    /// The engines of a data centre, and since when they are the same.
-    pub(super) settled: HashMap<(ServiceName, DataCentre), (BTreeSet<Incarnation>, Instant)>,
+    /// Engines of a data centre, and since when the set is unchanged.
+    pub(super) unchanged_since:
+        HashMap<(ServiceName, DataCentre), (BTreeSet<Incarnation>, Instant)>,
 }
 
 impl Placer {
@@ -52,33 +53,33 @@
             engines: Rc::default(),
             is_complete: false,
             plans: HashMap::new(),
-            whole: HashMap::new(),
+            whole_since: HashMap::new(),
             unused_since: None,
-            settled: HashMap::new(),
+            unchanged_since: HashMap::new(),
         }
     }
 
-    /// Takes part in the election and places layers while this gateway leads, for ever.
+    /// Takes part in the election, and places layers while this gateway leads. Never returns.
     pub(crate) async fn run(mut self, store: Store) {
         let mut lead = Lead::new(Rc::clone(&self.gateway), store);
         loop {
-            match lead.look().await {
+            match lead.check().await {
                 Some(term) => self.round(term).await,
-                None => self.rest(),
+                None => self.reset(),
             }
         }
     }
 
-    /// Forgets everything: whoever leads next reads it from the engines.
-    fn rest(&mut self) {
+    /// Clears all state: the next lead reads it from the engines.
+    fn reset(&mut self) {
         if self.gateway.leads.replace(false) {
             *self.own_view.borrow_mut() = None;
             self.is_complete = false;
             self.engines.borrow_mut().clear();
             self.plans.clear();
-            self.whole.clear();
+            self.whole_since.clear();
             self.unused_since = None;
-            self.settled.clear();
+            self.unchanged_since.clear();
         }
     }
 
@@ -86,8 +87,8 @@
         let now = Instant::now();
         let services = self.models();
         self.sync_engines(now);
-        self.ask_engines(now);
-        self.note_use(now);
+        self.request_reports(now);
+        self.track_use(now);
         for (service, shape) in &services {
             for (data_centre, engines) in self.by_data_centre(service) {
                 self.place(service, shape, &data_centre, &engines, now);
@@ -107,7 +108,7 @@
             .collect()
     }
 
-    /// Engines as the list tells, less those that leave. Those of dropped services are followed, and get no orders.
+    /// Updates the engines to the listed ones that are not leaving. Those of dropped services stay tracked, and get no orders.
     fn sync_engines(&mut self, now: Instant) {
         let knowledge = self.gateway.knowledge.borrow();
         let services = knowledge.services(now.into_std());
@@ -134,13 +135,14 @@
             if knowledge.is_unusable(&incarnation.id) {
                 continue;
             }
-            let begin = if ended.contains(&incarnation.id) { Engine::reborn } else { Engine::new };
-            engines.entry(incarnation).or_insert_with(|| begin(Client::new(addr), now));
+            let new_engine =
+                if ended.contains(&incarnation.id) { Engine::restarted } else { Engine::new };
+            engines.entry(incarnation).or_insert_with(|| new_engine(Client::new(addr), now));
         }
     }
 
-    /// Asks the engines whose report is due.
-    fn ask_engines(&self, now: Instant) {
+    /// Requests the reports that are due.
+    fn request_reports(&self, now: Instant) {
         let suspects = suspects(&self.gateway, now);
         let knowledge = self.gateway.knowledge.borrow();
         let mut engines = self.engines.borrow_mut();
@@ -148,20 +150,21 @@
             let is_urgent =
                 engine.is_moving() || engine.failures > 0 || suspects.contains(incarnation);
             let interval = if is_urgent { REPORT_INTERVAL_MOVING } else { REPORT_INTERVAL };
-            let is_due = engine.asked.is_none_or(|asked| now - asked >= interval);
-            // One without an entry to use stays as it was last heard.
-            if engine.is_asking || !is_due || knowledge.is_unusable(&incarnation.id) {
+            let is_due =
+                engine.requested_at.is_none_or(|requested_at| now - requested_at >= interval);
+            // An engine without a usable entry keeps its last known state.
+            if engine.is_request_pending || !is_due || knowledge.is_unusable(&incarnation.id) {
                 continue;
             }
-            engine.is_asking = true;
-            engine.asked = Some(now);
-            let ask = ask(
+            engine.is_request_pending = true;
+            engine.requested_at = Some(now);
+            let request_report = request_report(
                 Rc::clone(&self.gateway),
                 Rc::clone(&self.engines),
                 incarnation.clone(),
                 engine.client.clone(),
             );
-            tokio::task::spawn_local(ask);
+            tokio::task::spawn_local(request_report);
         }
     }
 
@@ -177,7 +180,7 @@
         by
     }
 
-    /// Plans one data centre if there is news, and orders what brings it nearer to the plan.
+    /// Replans one data centre if its engines have changed, and sends the orders that lead to the plan.
     fn place(
         &mut self,
         service: &str,
@@ -188,11 +191,11 @@
     ) {
         let key = (service.to_owned(), data_centre.to_owned());
         let Some(planned) = self.planned_engines(shape, endpoints) else { return };
-        let planned = self.without_newcomers(shape, planned, now);
+        let planned = self.without_recently_joined(shape, planned, now);
         if !self.is_settled(&key, &planned, now) {
             return;
         }
-        let planned = self.forget_chains_at_rest(&key, shape, planned, now);
+        let planned = self.discard_chains_when_unused(&key, shape, planned, now);
         let is_idle = self.is_idle(&key, endpoints, now);
         if self.may_plan(&key, shape, &planned, now) {
             self.plan(&key, shape, &planned, is_idle, now);
@@ -201,33 +204,33 @@
         let holdings = self.holdings(shape, endpoints, now);
         let mut steps = next_steps(&plan.placement, &holdings, shape.layers, is_idle);
         if plan.is_repair {
-            // Once the gap is closed, what is held besides is left to the next balance.
+            // Once the gap is closed, surplus layers are left to the next rebalancing.
             steps.retain(|step| step.is_urgent || !step.gives_up);
         }
-        self.reopen(endpoints, &steps);
+        self.cancel_drains(endpoints, &steps);
         let is_short = plan.is_repair || is_any_chain_scarce(shape, &planned);
-        let most_moves = if is_short { SCARCE_MOVES } else { QUIET_MOVES };
+        let max_moves = if is_short { MAX_MOVES_SCARCE } else { MAX_MOVES };
         for step in steps {
-            if step.is_urgent || self.moving() < most_moves {
+            if step.is_urgent || self.pending_orders() < max_moves {
                 self.order(step, now);
             }
         }
     }
 
-    /// Shares what the lead knows with all gateways, this one included.
+    /// Publishes the lead's view to all gateways, this one included.
     fn publish(&mut self, term: Revision) {
         self.gateway.leads.set(true);
         let engines = self.engines.borrow();
-        self.is_complete |= !engines.is_empty() && engines.values().all(Engine::is_heard);
+        self.is_complete |= !engines.is_empty() && engines.values().all(Engine::is_resolved);
         if !self.is_complete {
             return;
         }
-        let heard = engines.iter().filter(|(_, engine)| engine.is_heard());
+        let resolved = engines.iter().filter(|(_, engine)| engine.is_resolved());
         let knowledge = self.gateway.knowledge.borrow();
-        let mut views: Vec<EngineView> = heard
+        let mut views: Vec<EngineView> = resolved
             .map(|(incarnation, engine)| EngineView {
                 incarnation: incarnation.clone(),
-                // Gateways that don't know yet that its entry can't be used pass over it as well.
+                // Excludes it on gateways, too, that don't know yet that its entry is unusable.
                 usable: match knowledge.is_unusable(&incarnation.id) {
                     true => LayerRange::default(),
                     false => engine.usable(),
--- a/crates/gateway/src/process/placer/planning.rs
+++ b/crates/gateway/src/process/placer/planning.rs
@@ -1,4 +1,4 @@
-//! Plans the layers of one data centre when there is news.
+//! Plans the layers of one data centre when its engines change.
 
 use super::{Placer, is_urgent};
 use sorrellock_routing::process::placement::{
@@ -11,28 +11,28 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often a plan is looked at again without news.
+/// How long a plan is kept while layers move towards it, even if its engines change state.
 const REPLAN_INTERVAL: Duration = Duration::from_secs(2);
-/// Layers' worth of memory that an engine keeps free while it holds old and new layers.
-const HULL_MARGIN_LAYERS: u32 = 1;
+/// Memory, in layers, that an engine keeps free while it holds both old and new layers.
+const MOVE_MARGIN_LAYERS: u32 = 1;
 
-/// The plan of one data centre, and what it was made for.
+/// The plan of one data centre, and the engines that it was made for.
 pub(super) struct Planned {
     pub(super) placement: Placement,
-    /// It closes a gap.
+    /// Whether the plan closes a gap.
     pub(super) is_repair: bool,
-    pub(super) made_for: Vec<Fingerprint>,
+    pub(super) fingerprints: Vec<Fingerprint>,
     pub(super) at: Instant,
 }
 
-/// What a plan depends on of one engine.
+/// State of one engine that a plan depends on.
 #[derive(PartialEq)]
 pub(super) struct Fingerprint {
     incarnation: Incarnation,
     held: LayerRange,
     is_pinned: bool,
-    /// Step factor in steps of a half.
-    half_factors: u32,
+    /// Step factor, rounded to halves.
+    rounded_step_factor: u32,
 }
 
 pub(super) fn fingerprint(engine: &PlannedEngine) -> Fingerprint {
@@ -40,7 +40,7 @@
         incarnation: engine.incarnation.clone(),
         held: engine.held,
         is_pinned: engine.is_pinned,
-        half_factors: (engine.step_factor * 2.0).round() as u32,
+        rounded_step_factor: (engine.step_factor * 2.0).round() as u32,
     }
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl Placer {
-    /// The engines that are alive; nothing while one of them wasn't heard yet.
+    /// Returns the engines that accept orders, or `None` while one of them has not reported yet.
     pub(super) fn planned_engines(
         &self,
         shape: &ModelShape,
@@ -75,7 +75,7 @@
                 memory_mb: card.memory_mb,
                 step_factor: card.step_factor * report.slowness.max(1.0),
                 held: engine.held(),
-                is_pinned: engine.ordered.is_some(),
+                is_pinned: engine.pending_order.is_some(),
                 chain: engine.chain,
             });
         }
@@ -90,7 +90,7 @@
         is_idle: bool,
         now: Instant,
     ) {
-        let made_for: Vec<_> = planned.iter().map(fingerprint).collect();
+        let fingerprints: Vec<_> = planned.iter().map(fingerprint).collect();
         let is_current = self.plans.get(key).is_some_and(|plan| {
             let same_engines = plan.placement.len() == planned.len()
                 && planned.iter().all(|engine| plan.placement.contains_key(&engine.incarnation));
@@ -98,7 +98,8 @@
                 .iter()
                 .any(|engine| plan.placement.get(&engine.incarnation) != Some(&engine.held));
             same_engines
-                && (plan.made_for == made_for || (is_moving && now - plan.at < REPLAN_INTERVAL))
+                && (plan.fingerprints == fingerprints
+                    || (is_moving && now - plan.at < REPLAN_INTERVAL))
         });
         if is_current {
             return;
@@ -112,7 +113,7 @@
             }
             return;
         };
-        self.note_chains(&plan);
+        self.record_chains(&plan);
         let placement = plan.placement;
         let before = self.plans.get(key);
         if before.is_none_or(|before| before.placement != placement) {
@@ -125,10 +126,10 @@
         }
         let is_repair =
             is_urgent(shape, planned) && planned.iter().any(|engine| !engine.held.is_empty());
-        self.plans.insert(key.clone(), Planned { placement, is_repair, made_for, at: now });
+        self.plans.insert(key.clone(), Planned { placement, is_repair, fingerprints, at: now });
     }
 
-    fn note_chains(&self, plan: &DataCentrePlan) {
+    fn record_chains(&self, plan: &DataCentrePlan) {
         let mut engines = self.engines.borrow_mut();
         for (incarnation, chain) in &plan.chains {
             if let Some(engine) = engines.get_mut(incarnation) {
@@ -146,7 +147,7 @@
         let engines = self.engines.borrow();
         let knowledge = self.gateway.knowledge.borrow();
         let mut holdings = BTreeMap::new();
-        let least_room = self.least_room(shape, endpoints);
+        let min_capacity = self.min_capacity(shape, endpoints);
         for endpoint in endpoints {
             let Some(engine) =
                 engines.get(&endpoint.incarnation()).filter(|engine| engine.takes_orders())
@@ -154,23 +155,23 @@
                 continue;
             };
             let card = endpoint.card.as_deref().and_then(|card| shape.card(card));
-            let most = card.map_or(0, |card| most_layers(shape, card, least_room));
-            // One without an entry to use gets no order.
+            let max_layers = card.map_or(0, |card| max_layers(shape, card, min_capacity));
+            // An engine without a usable entry gets no order.
             let is_unusable = knowledge.is_unusable(&endpoint.id);
             let is_busy = engine.is_moving() || now < engine.order_after || is_unusable;
             holdings.insert(
                 endpoint.incarnation(),
-                Holding { ready: engine.ready(), most_layers: most, is_busy },
+                Holding { ready: engine.ready(), most_layers: max_layers, is_busy },
             );
         }
         holdings
     }
 
-    /// Room of the engine that bounds the chain, in tokens; 0 while layers are missing.
-    pub(super) fn least_room(&self, shape: &ModelShape, endpoints: &[Endpoint]) -> f64 {
+    /// Returns the smallest capacity of any engine in the chain, in tokens; 0 while layers are missing.
+    pub(super) fn min_capacity(&self, shape: &ModelShape, endpoints: &[Endpoint]) -> f64 {
         let engines = self.engines.borrow();
         let mut covered = vec![false; shape.layers as usize];
-        let mut least = f64::INFINITY;
+        let mut min = f64::INFINITY;
         for endpoint in endpoints {
             let Some(engine) =
                 engines.get(&endpoint.incarnation()).filter(|engine| engine.takes_orders())
@@ -180,20 +181,20 @@
             let card = endpoint.card.as_deref().and_then(|card| shape.card(card));
             let ready = engine.ready();
             if let Some(card) = card.filter(|_| !ready.is_empty()) {
-                least = least.min(shape.token_room(card, ready.len()));
+                min = min.min(shape.token_room(card, ready.len()));
             }
             for layer in ready.from..ready.to.min(shape.layers) {
                 covered[layer as usize] = true;
             }
         }
-        if covered.iter().all(|is_covered| *is_covered) { least } else { 0.0 }
+        if covered.iter().all(|is_covered| *is_covered) { min } else { 0.0 }
     }
 }
 
-/// The most layers that an engine may hold for a while: it must not bound its chain further, and
-/// keeps some memory for requests while the chain has a gap.
-fn most_layers(shape: &ModelShape, card: &Card, least_room: f64) -> u32 {
-    let most = shape.most_layers(card).saturating_sub(HULL_MARGIN_LAYERS);
-    let fits = |layers: &u32| shape.token_room(card, *layers) >= least_room;
-    (1..=most).rev().find(fits).unwrap_or(0)
+/// Returns how many layers an engine may hold during a move: it must not lower the capacity of its
+/// chain, and keeps some memory for requests while the chain has a gap.
+fn max_layers(shape: &ModelShape, card: &Card, min_capacity: f64) -> u32 {
+    let max = shape.most_layers(card).saturating_sub(MOVE_MARGIN_LAYERS);
+    let fits = |layers: &u32| shape.token_room(card, *layers) >= min_capacity;
+    (1..=max).rev().find(fits).unwrap_or(0)
 }
