--- a/crates/gateway/src/process/placer/planning.rs
+++ b/crates/gateway/src/process/placer/planning.rs
@@ -31,8 +31,8 @@
     incarnation: Incarnation,
     held: LayerRange,
     is_pinned: bool,
-    /// Step factor, rounded to halves.
-    rounded_step_factor: u32,
+    /// Step factor in halves, rounded.
+    step_factor_halves: u32,
 }
 
 pub(super) fn fingerprint(engine: &PlannedEngine) -> Fingerprint {
@@ -40,7 +40,7 @@
         incarnation: engine.incarnation.clone(),
         held: engine.held,
         is_pinned: engine.is_pinned,
-        rounded_step_factor: (engine.step_factor * 2.0).round() as u32,
+        step_factor_halves: (engine.step_factor * 2.0).round() as u32,
     }
 }
 
@@ -155,13 +155,13 @@
                 continue;
             };
             let card = endpoint.card.as_deref().and_then(|card| shape.card(card));
-            let max_layers = card.map_or(0, |card| max_layers(shape, card, min_capacity));
+            let max_held = card.map_or(0, |card| max_layers(shape, card, min_capacity));
             // An engine without a usable entry gets no order.
             let is_unusable = knowledge.is_unusable(&endpoint.id);
             let is_busy = engine.is_moving() || now < engine.order_after || is_unusable;
             holdings.insert(
                 endpoint.incarnation(),
-                Holding { ready: engine.ready(), most_layers: max_layers, is_busy },
+                Holding { ready: engine.ready(), most_layers: max_held, is_busy },
             );
         }
         holdings
@@ -171,7 +171,7 @@
     pub(super) fn min_capacity(&self, shape: &ModelShape, endpoints: &[Endpoint]) -> f64 {
         let engines = self.engines.borrow();
         let mut covered = vec![false; shape.layers as usize];
-        let mut min = f64::INFINITY;
+        let mut lowest = f64::INFINITY;
         for endpoint in endpoints {
             let Some(engine) =
                 engines.get(&endpoint.incarnation()).filter(|engine| engine.takes_orders())
@@ -181,20 +181,20 @@
             let card = endpoint.card.as_deref().and_then(|card| shape.card(card));
             let ready = engine.ready();
             if let Some(card) = card.filter(|_| !ready.is_empty()) {
-                min = min.min(shape.token_room(card, ready.len()));
+                lowest = lowest.min(shape.token_room(card, ready.len()));
             }
             for layer in ready.from..ready.to.min(shape.layers) {
                 covered[layer as usize] = true;
             }
         }
-        if covered.iter().all(|is_covered| *is_covered) { min } else { 0.0 }
+        if covered.iter().all(|is_covered| *is_covered) { lowest } else { 0.0 }
     }
 }
 
 /// Returns how many layers an engine may hold during a move: it must not lower the capacity of its
 /// chain, and keeps some memory for requests while the chain has a gap.
 fn max_layers(shape: &ModelShape, card: &Card, min_capacity: f64) -> u32 {
-    let max = shape.most_layers(card).saturating_sub(MOVE_MARGIN_LAYERS);
+    let upper = shape.most_layers(card).saturating_sub(MOVE_MARGIN_LAYERS);
     let fits = |layers: &u32| shape.token_room(card, *layers) >= min_capacity;
-    (1..=max).rev().find(fits).unwrap_or(0)
+    (1..=upper).rev().find(fits).unwrap_or(0)
 }
--- a/crates/gateway/src/process/placer/reports.rs
+++ b/crates/gateway/src/process/placer/reports.rs
@@ -96,8 +96,8 @@
 ) {
     engine.failures += 1;
     let is_refused = matches!(err, CallError::NotSent { step, .. } if step.starts_with("connect"));
-    let is_dead = engine.failures >= max_failures || is_refused;
-    if is_dead && !std::mem::replace(&mut engine.is_dead, true) {
+    let is_now_dead = engine.failures >= max_failures || is_refused;
+    if is_now_dead && !std::mem::replace(&mut engine.is_dead, true) {
         engine.died_at = Some(Instant::now());
         let (failures, text) = (engine.failures, err.to_string());
         warn!("engine taken to be dead", kv: { endpoint = incarnation.id.as_str(), failures, err = text.as_str() });
--- a/crates/gateway/src/process/store/endpoint_check.rs
+++ b/crates/gateway/src/process/store/endpoint_check.rs
@@ -1,4 +1,4 @@
-//! Asks endpoints whether they are well, and in which incarnation, where their entry doesn't tell for sure.
+//! Checks the health and the incarnation of endpoints where their entries don't settle it.
 
 use crate::process::{AnswerOf, CHECK_INTERVAL, Gateway, Unanswered};
 use sorrellock_platform::{CallError, Health, read_health, read_report};
@@ -10,23 +10,23 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time for an endpoint's health, which may wait for a slot, and for the report that tells its incarnation.
-const HEALTH_LIMIT: Duration = Duration::from_millis(400);
-/// What told that an endpoint leaves, for log lines.
+/// Time limit for an endpoint's health answer, which may wait for a slot, and for the report with its incarnation.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(400);
+/// Source of the finding that an endpoint leaves, for log lines.
 const ITS_HEALTH: &str = "its health";
 
-/// An endpoint that is asked whether it is well.
-struct Asked {
+/// An endpoint to check.
+struct CheckTarget {
     incarnation: Incarnation,
     addr: SocketAddr,
     health_path: String,
-    /// It has a report.
+    /// Whether it has a report.
     is_engine: bool,
 }
 
-impl Asked {
-    fn new(knowledge: &Knowledge, endpoint: &Endpoint) -> Option<Asked> {
-        Some(Asked {
+impl CheckTarget {
+    fn new(knowledge: &Knowledge, endpoint: &Endpoint) -> Option<CheckTarget> {
+        Some(CheckTarget {
             incarnation: endpoint.incarnation(),
             addr: endpoint.addr,
             health_path: knowledge.health_path(endpoint, Instant::now().into_std())?.to_owned(),
@@ -35,93 +35,94 @@
     }
 }
 
-/// An endpoint refused a request as not run: asks it whether it leaves, unless that was done just
-/// now. The list may not tell for long, as while the store is down. `lacks_part`: it doesn't hold its part
-/// of the path, as one that started again.
+/// Checks whether an endpoint that refused a request as not run is leaving, unless it was checked just
+/// now. The list may not show this for a long time, for example while the store is down. `lacks_part`: it
+/// doesn't hold its part of the path, like one that restarted.
 pub(crate) fn check_refuser(gateway: &Rc<Gateway>, addr: SocketAddr, lacks_part: bool) {
     let found = {
         let knowledge = gateway.knowledge.borrow();
         let endpoint = knowledge.usable_endpoints().find(|endpoint| endpoint.addr == addr);
         let endpoint = endpoint.filter(|endpoint| !endpoint.is_leaving);
-        endpoint.and_then(|endpoint| Asked::new(&knowledge, endpoint))
+        endpoint.and_then(|endpoint| CheckTarget::new(&knowledge, endpoint))
     };
-    let Some(asked) = found else { return };
-    if !note_asked(gateway, &asked.incarnation) {
+    let Some(target) = found else { return };
+    if !mark_checked(gateway, &target.incarnation) {
         return;
     }
     let gateway = Rc::clone(gateway);
     tokio::task::spawn_local(async move {
-        let mut res = ask_health(&gateway, &asked).await;
+        let mut res = check_health(&gateway, &target).await;
         if res.is_ok() && lacks_part {
-            res = ask_incarnation(&gateway, &asked).await;
+            res = check_incarnation(&gateway, &target).await;
         }
         match res {
-            // One that refused a request just now lives.
-            Ok(()) | Err(Unwell::OtherIncarnation | Unwell::Unknown | Unwell::Silent(_)) => {}
-            Err(Unwell::Leaves) => gateway.believe_leaving(&asked.incarnation),
-            Err(Unwell::Ended(why)) => {
-                gateway.suspect(&asked.incarnation, FailureEvidence::Refused, &why)
+            // An endpoint that has just refused a request is alive.
+            Ok(())
+            | Err(Unhealthy::OtherIncarnation | Unhealthy::Unknown | Unhealthy::Silent(_)) => {}
+            Err(Unhealthy::Leaves) => gateway.believe_leaving(&target.incarnation),
+            Err(Unhealthy::Ended(why)) => {
+                gateway.suspect(&target.incarnation, FailureEvidence::Refused, &why)
             }
         }
     });
 }
 
-/// Endpoints are listed at one address: each is asked whether it is the one there, unless that was done
-/// just now.
+/// If several endpoints are listed at an address, checks for each whether it is the one that answers there.
+/// Skips those that were checked just now.
 pub(crate) fn check_address(gateway: &Rc<Gateway>, addr: SocketAddr) {
-    let asked: Vec<Asked> = {
+    let targets: Vec<CheckTarget> = {
         let knowledge = gateway.knowledge.borrow();
         let here = knowledge.usable_endpoints().filter(|endpoint| endpoint.addr == addr);
-        here.filter_map(|endpoint| Asked::new(&knowledge, endpoint)).collect()
+        here.filter_map(|endpoint| CheckTarget::new(&knowledge, endpoint)).collect()
     };
-    if asked.len() < 2 {
+    if targets.len() < 2 {
         return;
     }
-    for one in asked.into_iter().filter(|one| note_asked(gateway, &one.incarnation)) {
+    for target in targets.into_iter().filter(|target| mark_checked(gateway, &target.incarnation)) {
         let gateway = Rc::clone(gateway);
-        // What it finds is taken on the way.
-        tokio::task::spawn_local(async move { drop(ask_health(&gateway, &one).await) });
+        // `check_health` applies what it finds, so the result is not needed.
+        tokio::task::spawn_local(async move { drop(check_health(&gateway, &target).await) });
     }
 }
 
-/// Notes that an endpoint is asked after a refusal or a contradiction. Whether it wasn't just now.
-fn note_asked(gateway: &Gateway, incarnation: &Incarnation) -> bool {
+/// Records that an endpoint is checked after a refusal or a contradiction. Returns whether it was not checked just now.
+fn mark_checked(gateway: &Gateway, incarnation: &Incarnation) -> bool {
     let now = Instant::now();
     let mut checked = gateway.refusers_checked.borrow_mut();
     checked.retain(|_, at| now - *at < CHECK_INTERVAL);
     checked.insert(incarnation.clone(), now).is_none()
 }
 
-/// An endpoint's entry is gone without a word: it stays for a while if it tells that it lives, as one
-/// that doesn't reach the store does.
+/// Checks an endpoint whose entry was removed without having been marked as leaving. It stays for a while
+/// if it is healthy, as when it can't reach the store.
 pub(crate) fn check_unlisted(gateway: &Rc<Gateway>, id: &str) {
     let found = {
         let knowledge = gateway.knowledge.borrow();
-        knowledge.endpoint(id).and_then(|endpoint| Asked::new(&knowledge, endpoint))
+        knowledge.endpoint(id).and_then(|endpoint| CheckTarget::new(&knowledge, endpoint))
     };
-    let Some(asked) = found else {
+    let Some(target) = found else {
         gateway.remove_endpoint(id, "watch");
         return;
     };
     let gateway = Rc::clone(gateway);
     tokio::task::spawn_local(async move {
-        let mut res = ask_health(&gateway, &asked).await;
+        let mut res = check_health(&gateway, &target).await;
         if res.is_ok() {
-            // Health is the same in each incarnation: only the report tells whether it kept its layers.
-            res = ask_incarnation(&gateway, &asked).await;
+            // Health doesn't show the incarnation; only the report shows whether it kept its layers.
+            res = check_incarnation(&gateway, &target).await;
         }
-        let id = asked.incarnation.id.as_str();
+        let id = target.incarnation.id.as_str();
         let why = match res {
             Ok(()) => {
                 info!("endpoint lives without its entry", kv: { endpoint = id });
                 return;
             }
-            // It stays as the new incarnation, which holds nothing yet.
-            Err(Unwell::OtherIncarnation) => return,
-            Err(Unwell::Leaves) => ITS_HEALTH.to_owned(),
-            // It stays until an entry that only lapsed would be back.
-            Err(Unwell::Unknown) => return,
-            Err(Unwell::Ended(why) | Unwell::Silent(why)) => why,
+            // It stays as the new incarnation, which holds no layers yet.
+            Err(Unhealthy::OtherIncarnation) => return,
+            Err(Unhealthy::Leaves) => ITS_HEALTH.to_owned(),
+            // It stays for as long as an expired entry may take to be written again.
+            Err(Unhealthy::Unknown) => return,
+            Err(Unhealthy::Ended(why) | Unhealthy::Silent(why)) => why,
         };
         if gateway.knowledge.borrow().is_missing(id) {
             gateway.remove_endpoint(id, &why);
@@ -130,10 +131,10 @@
     });
 }
 
-/// An endpoint's entry is gone, and may only have lapsed in an outage of the store. Two of the gateways ask whether it leaves, and
-/// tell all others. It guards endpoints that leave without a word around an outage: they got requests for as long as an entry that
-/// lapsed may take to be back. One that gives no answer stays as long as that.
-pub(crate) fn check_lapsed(gateway: &Rc<Gateway>, id: &str) {
+/// Checks an endpoint whose entry is gone, and may only have expired in an outage of the store. Two of the gateways check whether it
+/// leaves, and report to all others. Without this, an endpoint that leaves unannounced around an outage gets requests for as long as
+/// an expired entry may take to be written again. One that doesn't answer stays for that time.
+pub(crate) fn check_expired(gateway: &Rc<Gateway>, id: &str) {
     let now = Instant::now();
     if !gateway.beliefs.borrow().asks_for_all(id, gateway.incarnation, now) {
         return;
@@ -141,120 +142,120 @@
     let found = {
         let knowledge = gateway.knowledge.borrow();
         let endpoint = knowledge.endpoint(id).filter(|endpoint| !endpoint.is_leaving);
-        endpoint.and_then(|endpoint| Asked::new(&knowledge, endpoint))
+        endpoint.and_then(|endpoint| CheckTarget::new(&knowledge, endpoint))
     };
-    let Some(asked) = found else { return };
+    let Some(target) = found else { return };
     let gateway = Rc::clone(gateway);
     tokio::task::spawn_local(async move {
-        let res = ask_health(&gateway, &asked).await;
-        if !matches!(res, Err(Unwell::Leaves))
-            || !gateway.remove_missing(&asked.incarnation, ITS_HEALTH)
+        let res = check_health(&gateway, &target).await;
+        if !matches!(res, Err(Unhealthy::Leaves))
+            || !gateway.remove_missing(&target.incarnation, ITS_HEALTH)
         {
             return;
         }
-        gateway.beliefs.borrow_mut().note_left(asked.incarnation, Instant::now());
+        gateway.beliefs.borrow_mut().note_left(target.incarnation, Instant::now());
         gateway.suspected.notify_one();
         gateway.refresh_paths();
     });
 }
 
-/// An endpoint that had left before the store came back from a copy is listed as ready: asks whether it is well after all.
+/// Checks whether an endpoint is healthy that left before the store was restored from a copy, but is listed as ready again.
 pub(crate) fn check_left(gateway: &Rc<Gateway>, id: &str) {
     let found = {
         let knowledge = gateway.knowledge.borrow();
-        knowledge.endpoint(id).and_then(|endpoint| Asked::new(&knowledge, endpoint))
+        knowledge.endpoint(id).and_then(|endpoint| CheckTarget::new(&knowledge, endpoint))
     };
-    let Some(asked) = found else { return };
+    let Some(target) = found else { return };
     let gateway = Rc::clone(gateway);
     tokio::task::spawn_local(async move {
-        let res = ask_health(&gateway, &asked).await;
-        if res.is_err() || !gateway.knowledge.borrow_mut().note_well(&asked.incarnation) {
+        let res = check_health(&gateway, &target).await;
+        if res.is_err() || !gateway.knowledge.borrow_mut().note_well(&target.incarnation) {
             return;
         }
-        info!("endpoint that had left is well", kv: { endpoint = asked.incarnation.id.as_str() });
+        info!("endpoint that had left is well", kv: { endpoint = target.incarnation.id.as_str() });
         gateway.engines_changed.notify_waiters();
         gateway.refresh_paths();
     });
 }
 
-/// Why an endpoint is not known to be well.
-enum Unwell {
-    /// It tells that it leaves, or that it is not well.
+/// Why an endpoint is not known to be healthy.
+enum Unhealthy {
+    /// It answers that it leaves or is unhealthy.
     Leaves,
-    /// It gives no answer, or another instance answers in its place.
+    /// It doesn't answer, or another instance answers in its place.
     Ended(String),
-    /// It has started again.
+    /// It has restarted.
     OtherIncarnation,
-    /// Nothing is known: it is full and rejected the question, the question waits for a slot, or this process was too late to
-    /// tell.
+    /// The check is inconclusive: the endpoint is full and rejected it, the request waits for a slot, or this process was delayed
+    /// itself.
     Unknown,
-    /// It gives no answer, and has no report that would not wait for a slot.
+    /// It doesn't answer, and has no report. A report would not wait for a slot.
     Silent(String),
 }
 
-impl From<Unanswered> for Unwell {
-    fn from(unanswered: Unanswered) -> Unwell {
+impl From<Unanswered> for Unhealthy {
+    fn from(unanswered: Unanswered) -> Unhealthy {
         match unanswered {
-            Unanswered::Failed(err) => Unwell::Ended(err.to_string()),
-            Unanswered::Inconclusive => Unwell::Unknown,
+            Unanswered::Failed(err) => Unhealthy::Ended(err.to_string()),
+            Unanswered::Inconclusive => Unhealthy::Unknown,
         }
     }
 }
 
-async fn ask_health(gateway: &Gateway, asked: &Asked) -> Result<(), Unwell> {
-    let Asked { incarnation, addr, health_path, .. } = asked;
-    let began = Instant::now();
+async fn check_health(gateway: &Gateway, target: &CheckTarget) -> Result<(), Unhealthy> {
+    let CheckTarget { incarnation, addr, health_path, .. } = target;
+    let sent_at = Instant::now();
     let client = gateway.probe(incarnation, *addr);
-    let question = |limit| read_health(&client, health_path, &incarnation.id, limit);
-    let answer = match gateway.ask(&client, HEALTH_LIMIT, question).await {
+    let request = |limit| read_health(&client, health_path, &incarnation.id, limit);
+    let answer = match gateway.ask(&client, CHECK_TIMEOUT, request).await {
         Ok(answer) => answer,
         Err(Unanswered::Failed(err @ CallError::NoAnswer { .. })) => {
-            return Err(check_silent(gateway, asked, &err).await);
+            return Err(check_silent(gateway, target, &err).await);
         }
         Err(unanswered) => return Err(unanswered.into()),
     };
     if answer.health == Health::Replaced {
         gateway.on_replaced(incarnation);
-        return Err(Unwell::Ended("another instance has its address".to_owned()));
+        return Err(Unhealthy::Ended("another instance has its address".to_owned()));
     }
     if answer.started.is_some()
-        && gateway.on_answer_of(incarnation, *addr, answer.started, began)
+        && gateway.on_answer_of(incarnation, *addr, answer.started, sent_at)
             != AnswerOf::SameIncarnation
     {
-        return Err(Unwell::OtherIncarnation);
+        return Err(Unhealthy::OtherIncarnation);
     }
     match answer.health {
         Health::Well => Ok(()),
-        Health::Unknown => Err(Unwell::Unknown),
-        Health::Leaving | Health::Replaced => Err(Unwell::Leaves),
+        Health::Unknown => Err(Unhealthy::Unknown),
+        Health::Leaving | Health::Replaced => Err(Unhealthy::Leaves),
     }
 }
 
-/// An endpoint's health brought no answer, as it waits for a slot. An engine's report doesn't.
-async fn check_silent(gateway: &Gateway, asked: &Asked, err: &CallError) -> Unwell {
-    if !asked.is_engine {
-        return Unwell::Silent(err.to_string());
+/// Checks an endpoint whose health request got no answer, as it may wait for a slot. An engine's report doesn't wait.
+async fn check_silent(gateway: &Gateway, target: &CheckTarget, err: &CallError) -> Unhealthy {
+    if !target.is_engine {
+        return Unhealthy::Silent(err.to_string());
     }
-    let client = gateway.probe(&asked.incarnation, asked.addr);
-    match gateway.ask(&client, HEALTH_LIMIT, |limit| read_report(&client, limit)).await {
-        Ok(_) => Unwell::Unknown,
+    let client = gateway.probe(&target.incarnation, target.addr);
+    match gateway.ask(&client, CHECK_TIMEOUT, |limit| read_report(&client, limit)).await {
+        Ok(_) => Unhealthy::Unknown,
         Err(unanswered) => unanswered.into(),
     }
 }
 
-/// Asks an engine whether it is still in the incarnation that is known. Where no start is told, each has an id
-/// of its own, and nothing is asked.
-async fn ask_incarnation(gateway: &Gateway, asked: &Asked) -> Result<(), Unwell> {
-    let Asked { incarnation, addr, is_engine, .. } = asked;
+/// Checks whether an engine is still in its known incarnation. Without a start time each incarnation has an id of
+/// its own, so there is nothing to check.
+async fn check_incarnation(gateway: &Gateway, target: &CheckTarget) -> Result<(), Unhealthy> {
+    let CheckTarget { incarnation, addr, is_engine, .. } = target;
     if !is_engine || incarnation.started.is_none() {
         return Ok(());
     }
-    let began = Instant::now();
+    let sent_at = Instant::now();
     let client = gateway.probe(incarnation, *addr);
-    let report = gateway.ask(&client, HEALTH_LIMIT, |limit| read_report(&client, limit)).await?;
-    match gateway.on_answer_of(incarnation, *addr, report.started, began) {
+    let report = gateway.ask(&client, CHECK_TIMEOUT, |limit| read_report(&client, limit)).await?;
+    match gateway.on_answer_of(incarnation, *addr, report.started, sent_at) {
         AnswerOf::SameIncarnation => Ok(()),
-        AnswerOf::OtherIncarnation => Err(Unwell::OtherIncarnation),
-        AnswerOf::Untold => Err(Unwell::Ended("its report tells no start".to_owned())),
+        AnswerOf::OtherIncarnation => Err(Unhealthy::OtherIncarnation),
+        AnswerOf::WithoutStart => Err(Unhealthy::Ended("its report has no start time".to_owned())),
     }
 }
--- a/crates/gateway/src/process/store/endpoint_news.rs
+++ b/crates/gateway/src/process/store/endpoint_updates.rs
@@ -1,6 +1,6 @@
-//! What the store tells of the endpoints, and what is made of entries that go.
+//! Applies lists and changes of the endpoints, and handles entries that are removed.
 
-use crate::process::{Gateway, ReadEntry, check_lapsed, check_left, check_unlisted, note_starts};
+use crate::process::{Gateway, ReadEntry, check_expired, check_left, check_unlisted, note_starts};
 use sorrellock_platform::{Change, StoredObject};
 use sorrellock_routing::process::knowledge::EntryState;
 use sorrellock_routing::process::{Endpoint, EndpointId, Incarnation, Revision};
@@ -10,17 +10,17 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// For so long after a failed call of the store a removed entry may only have lapsed: what the
-/// store did meanwhile comes with the first watch that it answers.
-const LAPSE_DOUBT: Duration = Duration::from_secs(3);
-/// Endpoints that vanish at once, unsaid, from which on a lapse is likelier than their deaths: at
-/// least so many, and this share of all.
-const LEAST_LAPSES: usize = 3;
-const LAPSES_SHARE: f64 = 0.2;
-/// How often missing entries are looked at.
+/// How long after a failed call of the store a removed entry may only have expired: the first watch that
+/// the store answers returns all changes of the meantime.
+const EXPIRY_WINDOW: Duration = Duration::from_secs(3);
+/// Entries removed at once, without notice, from which expiry is likelier than the deaths of their
+/// endpoints: at least this many, and at least `MIN_EXPIRED_SHARE` of all.
+const MIN_EXPIRED: usize = 3;
+const MIN_EXPIRED_SHARE: f64 = 0.2;
+/// How often missing and unusable entries are checked.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Gives up endpoints whose entries stay missing or can't be used for too long.
+/// Removes endpoints whose entries stay missing or unusable for too long. Never returns.
 pub(crate) async fn expire_entries(gateway: Rc<Gateway>) {
     loop {
         sleep(EXPIRY_INTERVAL).await;
@@ -42,9 +42,9 @@
 }
 
 impl Gateway {
-    /// Takes a list of all entries as of a revision. After an outage those that are missing may only have lapsed, and the copy that a
-    /// new era of the store began with may lack them.
-    pub(crate) fn take_endpoint_list(
+    /// Applies a list of all entries as of a revision. Missing entries may only have expired in an outage, or be lacking in the copy
+    /// that a new era of the store began with.
+    pub(crate) fn apply_endpoint_list(
         self: &Rc<Self>,
         objects: Vec<StoredObject>,
         at: Revision,
@@ -64,7 +64,7 @@
                 self.knowledge.borrow_mut().mark_unlisted(&listed, Instant::now().into_std());
             for id in &missing {
                 info!("entry of an endpoint missing after an outage", kv: { endpoint = id.as_str() });
-                check_lapsed(self, id);
+                check_expired(self, id);
             }
             return;
         }
@@ -74,9 +74,9 @@
         }
     }
 
-    /// Takes changes in their order.
-    pub(crate) fn take_endpoint_changes(self: &Rc<Self>, changes: Vec<Change>) {
-        let may_have_lapsed = self.may_have_lapsed(&changes);
+    /// Applies changes in order.
+    pub(crate) fn apply_endpoint_changes(self: &Rc<Self>, changes: Vec<Change>) {
+        let may_have_expired = self.may_have_expired(&changes);
         let read = |change| match change {
             Change::Written(object) => Ok(ReadEntry::from(object)),
             Change::Removed(name) => Err(name),
@@ -86,54 +86,54 @@
         for change in read {
             match change {
                 Ok(entry) => self.apply_entry(entry, "watch"),
-                Err(removed) => self.on_entry_removed(&removed, may_have_lapsed),
+                Err(removed) => self.on_entry_removed(&removed, may_have_expired),
             }
         }
     }
 
-    /// Whether entries that were removed may only have lapsed: after an outage, or where many go
-    /// at once that did not say so, as an outage can pass unseen by a watch that waits.
-    fn may_have_lapsed(&self, changes: &[Change]) -> bool {
+    /// Returns whether removed entries may only have expired: after an outage, or if many are removed at
+    /// once without notice, as a pending watch may not notice an outage.
+    fn may_have_expired(&self, changes: &[Change]) -> bool {
         let failed = self.store_failed.get();
-        if failed.is_some_and(|failed| failed.elapsed() < LAPSE_DOUBT) {
+        if failed.is_some_and(|failed| failed.elapsed() < EXPIRY_WINDOW) {
             return true;
         }
         let knowledge = self.knowledge.borrow();
-        let is_unsaid = |change: &&Change| match change {
+        let is_unannounced = |change: &&Change| match change {
             Change::Removed(name) => knowledge.endpoint(name).is_some_and(|e| !e.is_leaving),
             Change::Written(_) => false,
         };
-        let share = (knowledge.endpoints().count() as f64 * LAPSES_SHARE).ceil() as usize;
-        changes.iter().filter(is_unsaid).count() >= share.max(LEAST_LAPSES)
+        let share = (knowledge.endpoints().count() as f64 * MIN_EXPIRED_SHARE).ceil() as usize;
+        changes.iter().filter(is_unannounced).count() >= share.max(MIN_EXPIRED)
     }
 
-    /// An entry is gone: of an endpoint that left, with a word or without, that died, or that only
-    /// doesn't reach the store. Whether it lives, its health tells.
-    fn on_entry_removed(self: &Rc<Self>, name: &str, may_have_lapsed: bool) {
+    /// Handles a removed entry: its endpoint left, with or without notice, died, or only can't reach the
+    /// store. A health check shows whether it is alive.
+    fn on_entry_removed(self: &Rc<Self>, name: &str, may_have_expired: bool) {
         let gateway = self;
         if gateway.knowledge.borrow().is_unusable(name) {
-            // It goes in its time; its health does not speak for it.
+            // It expires like any unusable entry; its health makes no difference.
             gateway.knowledge.borrow_mut().forget_refused(name);
             return;
         }
         let incarnation = gateway.knowledge.borrow().endpoint(name).map(Endpoint::incarnation);
         let is_dead = incarnation.is_some_and(|incarnation| gateway.is_dead(&incarnation))
-            && !may_have_lapsed;
+            && !may_have_expired;
         if is_dead || !gateway.knowledge.borrow_mut().mark_missing(name, Instant::now().into_std())
         {
             gateway.remove_endpoint(name, "watch");
             return;
         }
-        if may_have_lapsed {
+        if may_have_expired {
             info!("entry of an endpoint missing after an outage", kv: { endpoint = name });
-            check_lapsed(gateway, name);
+            check_expired(gateway, name);
             return;
         }
         check_unlisted(gateway, name);
     }
 
-    /// Gives up an endpoint whose entry is missing, as `source` found that it leaves. One whose entry is back stays. Tells
-    /// whether it was given up.
+    /// Removes an endpoint whose entry is missing, as `source` found that it leaves. One whose entry is back stays. Returns
+    /// whether it was removed.
     pub(crate) fn remove_missing(&self, incarnation: &Incarnation, source: &str) -> bool {
         let is_missing = {
             let knowledge = self.knowledge.borrow();
--- a/crates/gateway/src/process/store/entries.rs
+++ b/crates/gateway/src/process/store/entries.rs
@@ -1,10 +1,10 @@
-//! Takes the entries of the list: those that name an endpoint, and those that name none to use.
+//! Applies the entries of endpoints, usable or not.
 //!
-//! An entry that can't be used may be another writer's. Its endpoint's health is not asked, and does
-//! not speak for it: an endpoint is used by what its entry says of it (service, address, data centre),
-//! and this one says nothing that holds. It gets nothing new at once; its streams move as from one that
-//! leaves. For a while its layers are planned for, as an engine that lives writes its entry again with
-//! the next heartbeat or the one after.
+//! An unusable entry may come from another writer. The endpoint's health is not checked and doesn't make up
+//! for it: an endpoint is used by what its entry says (service, address, data centre), and this one says
+//! nothing valid. The endpoint gets no new requests at once, and its streams move as from one that leaves.
+//! Its layers stay planned for a while, as a live engine rewrites its entry with the next heartbeat or the
+//! one after.
 
 use crate::process::{Count, Gateway, check_address};
 use sorrellock_platform::StoredObject;
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// An entry as it was read.
+/// An entry as read from the store.
 pub(crate) struct ReadEntry {
     name: String,
     revision: Revision,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Works out whether entries must tell a start, with those that were just read.
+/// Updates whether entries must have a start time, including those just read.
 pub(crate) fn note_starts<'a>(
     gateway: &Gateway,
     read: impl Iterator<Item = &'a ReadEntry> + Clone,
@@ -39,7 +39,7 @@
 }
 
 impl Gateway {
-    /// Takes an entry as it was read.
+    /// Applies an entry, or refuses it if it is unusable.
     pub(crate) fn apply_entry(self: &Rc<Self>, entry: ReadEntry, source: &str) {
         match entry.endpoint {
             Ok(endpoint) => self.apply_endpoint(endpoint, entry.revision, source),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Takes an endpoint's entry, unless it is late news.
+    /// Applies an endpoint's entry, unless it is outdated.
     pub(crate) fn apply_endpoint(
         self: &Rc<Self>,
         endpoint: Endpoint,
@@ -68,23 +68,23 @@
         };
         let (incarnation, addr) = (endpoint.incarnation(), endpoint.addr);
         let is_known_there = self.knowledge.borrow().is_known_at(&incarnation, addr);
-        self.take_entry(endpoint, revision, source);
+        self.apply_current_entry(endpoint, revision, source);
         if !is_known_there {
             check_address(self, addr);
         }
         if let Some(ended) = ended {
-            self.on_life_ended(&ended, &incarnation, source);
+            self.on_incarnation_ended(&ended, &incarnation, source);
         }
     }
 
-    /// Takes an entry of an endpoint's present incarnation.
-    pub(crate) fn take_entry(&self, endpoint: Endpoint, revision: Revision, source: &str) {
+    /// Applies an entry of an endpoint's current incarnation.
+    pub(crate) fn apply_current_entry(&self, endpoint: Endpoint, revision: Revision, source: &str) {
         let id = endpoint.id.clone();
         let addr = endpoint.addr.to_string();
         let (data_centre, layers) = (endpoint.data_centre.clone(), endpoint.layers);
         let service = endpoint.service.clone();
         let news = self.knowledge.borrow_mut().apply_endpoint(endpoint, revision);
-        let what = match news {
+        let message = match news {
             EndpointNews::Nothing => return,
             EndpointNews::Joined => "endpoint joined",
             EndpointNews::Leaving => "endpoint leaving",
@@ -92,7 +92,7 @@
             EndpointNews::Changed => "endpoint changed",
         };
         let (from, to) = (layers.from, layers.to);
-        info!("{}", what, kv: {
+        info!("{}", message, kv: {
             endpoint = id.as_str(), service = service.as_str(), addr = addr.as_str(),
             data_centre = data_centre.as_str(), from, to, era = revision.era,
             revision = revision.count, source
@@ -106,7 +106,7 @@
         self.refuse_entry(&id, refused, Instant::now(), source);
     }
 
-    /// Takes an entry that names no endpoint to use, which has been so since `since`.
+    /// Records that an endpoint's entry is unusable, and has been since `since`.
     pub(crate) fn refuse_entry(&self, id: &str, entry: RefusedEntry, since: Instant, source: &str) {
         let (revision, fault) = (entry.revision, entry.fault.clone());
         let refusal = self.knowledge.borrow_mut().refuse_endpoint(id, entry, since.into_std());
@@ -114,7 +114,7 @@
             return;
         }
         self.counters.add(Count::from(fault.kind()));
-        if self.logged_faults.borrow_mut().is_news(id, &fault) {
+        if self.logged_faults.borrow_mut().is_new(id, &fault) {
             let (endpoint, why) = (cut(id, FOUND_MOST), fault.to_string());
             let known = refusal != Refusal::OfUnknown;
             warn!("entry of an endpoint can't be used", kv: {
@@ -127,43 +127,43 @@
         }
     }
 
-    /// Tells of entries of which not even the name can be read.
+    /// Counts and logs objects whose name is unreadable.
     pub(crate) fn refuse_nameless(&self, faults: &[EntryFault], kind: &str) {
         for fault in faults {
             self.counters.add(Count::NamelessObjects);
-            if self.logged_faults.borrow_mut().is_news(kind, fault) {
+            if self.logged_faults.borrow_mut().is_new(kind, fault) {
                 let why = fault.to_string();
-                warn!("object without a name that can be read", kv: { kind, why = why.as_str() });
+                warn!("object with an unreadable name", kv: { kind, why = why.as_str() });
             }
         }
     }
 
-    /// Takes entries that another gateway couldn't use.
-    pub(crate) fn hear_refused(&self, told: Vec<RefusalTold>, from: &str) {
+    /// Applies refusals of unusable entries that another gateway reported.
+    pub(crate) fn receive_refused(&self, refusals: Vec<RefusalTold>, from: &str) {
         let now = Instant::now();
-        for one in told {
-            let since = now.checked_sub(one.lasts).unwrap_or(now);
-            self.refuse_entry(&one.id, one.entry, since, from);
+        for refusal in refusals {
+            let since = now.checked_sub(refusal.lasts).unwrap_or(now);
+            self.refuse_entry(&refusal.id, refusal.entry, since, from);
         }
     }
 
-    /// Counts an object of ours in the store that can't be used, and tells of it once.
+    /// Counts an unusable object of the gateways' own in the store, and logs each of its faults once.
     pub(crate) fn refuse_own_object(
         &self,
         count: Count,
-        what: &str,
+        message: &str,
         name: &str,
         fault: &EntryFault,
     ) {
         self.counters.add(count);
-        if self.logged_faults.borrow_mut().is_news(&format!("{what}/{name}"), fault) {
+        if self.logged_faults.borrow_mut().is_new(&format!("{message}/{name}"), fault) {
             let (name, why) = (cut(name, FOUND_MOST), fault.to_string());
-            warn!("{}", what, kv: { name = name.as_str(), why = why.as_str() });
+            warn!("{}", message, kv: { name = name.as_str(), why = why.as_str() });
         }
     }
 
-    /// Judges all entries by what is known of starts by now.
-    pub(crate) fn judge_starts(self: &Rc<Self>, source: &str) {
+    /// Evaluates all entries again by the start times known now.
+    pub(crate) fn evaluate_starts(self: &Rc<Self>, source: &str) {
         let verdicts = self.knowledge.borrow_mut().start_verdicts();
         for (endpoint, revision) in verdicts.refused {
             self.refuse_startless(endpoint, revision, source);
--- a/crates/gateway/src/process/store/eras.rs
+++ b/crates/gateway/src/process/store/eras.rs
@@ -1,7 +1,8 @@
-//! The store came back from an older copy of itself: what it had acknowledged since is gone, and a new era begins.
+//! Eras of the store. A new era begins when the store is restored from an older copy of itself: writes that it acknowledged after
+//! that copy are lost.
 //!
-//! Any answer of the store tells of it, and so does any other gateway. What is known stays in use; each watch lists anew, and what
-//! this process had written is written again. What the list then means is decided in [`Knowledge`].
+//! Any answer of the store or message of another gateway can reveal a new era. In it, what is known stays in use, each
+//! watch lists again, and this process writes its own objects again. [`Knowledge`] decides how to apply the list.
 //!
 //! [`Knowledge`]: sorrellock_routing::process::knowledge::Knowledge
 
@@ -14,16 +15,16 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Tells of each new era, for ever.
+/// Handles each new era of the store. Never returns.
 pub(crate) async fn follow_eras(gateway: Rc<Gateway>) {
     let mut eras = gateway.eras.subscribe();
     let mut before = 0;
-    // The sender lives as long as the gateway.
+    // `gateway` owns the sender, so this loop doesn't end.
     while eras.changed().await.is_ok() {
         let KnownEra { era, told_by } = eras.borrow_and_update().clone();
         let known = gateway.knowledge.borrow().endpoints_at();
-        // A list of the endpoints may be the first answer of an era, and is applied before this task runs: endpoints
-        // that are known in `era` don't make it the first one.
+        // The first answer in an era may be a list of the endpoints, which is applied before this task runs. So it is the first
+        // era of this process even if endpoints are known, as long as they are known in `era`.
         let is_first = before == 0 && (known == Revision::default() || known.era >= era);
         if is_first {
             info!("era of the store is known", kv: { era, told_by = told_by.as_str() });
@@ -48,7 +49,8 @@
         });
     }
 
-    /// Another gateway, which knows the endpoints in `era`, knew these to have left before it. Returns whether that is news.
+    /// Applies endpoints that another gateway, whose list is of `era`, knows to have left before that era. Returns whether any of
+    /// them is newly leaving.
     pub(crate) fn receive_left(&self, left: &[Incarnation], era: StoreEra, from: &str) -> bool {
         let now = Instant::now().into_std();
         let newly_leaving = self.knowledge.borrow_mut().receive_left(left, era, now);
@@ -61,19 +63,19 @@
         !newly_leaving.is_empty()
     }
 
-    /// An object of this gateway's own was written again, as the copy that an era began with may lack it.
+    /// Records that this gateway has rewritten one of its own objects, which the copy that an era began with may lack.
     pub(crate) fn note_rewritten(&self, kind: Kind, name: &str) {
         self.counters.add(Count::ObjectsRewritten);
         let (kind, era) = (kind.name(), self.eras.known());
         info!("object written again", kv: { kind, name, era });
     }
 
-    /// Whether the store came back from a copy within the last `time`.
+    /// Returns whether the store was restored from a copy within the last `time`.
     pub(crate) fn is_era_new(&self, time: Duration) -> bool {
         self.era_began.get().is_some_and(|began| began.elapsed() < time)
     }
 
-    /// How long this gateway leaves it to those before it to list anew in a new era.
+    /// Returns how long this gateway waits in a new era, so that the gateways before it list first.
     pub(crate) fn list_turn(&self) -> Duration {
         let now = Instant::now();
         let beliefs = self.beliefs.borrow();
@@ -82,10 +84,10 @@
         list_turn(rank, count)
     }
 
-    /// Ends once an era after `era` is known.
+    /// Waits until an era after `era` is known.
     pub(crate) async fn newer_era(&self, era: StoreEra) {
         let mut eras = self.eras.subscribe();
-        // The sender lives as long as the gateway.
+        // The gateway owns the sender, so the wait doesn't fail.
         let _ = eras.wait_for(|known| known.era > era).await;
     }
 }
--- a/crates/gateway/src/process/store/handed_over.rs
+++ b/crates/gateway/src/process/store/handover.rs
@@ -1,6 +1,6 @@
-//! Takes what another gateway hands over.
+//! Applies the state that another gateway hands over.
 
-use crate::process::{Gateway, check_lapsed};
+use crate::process::{Gateway, check_expired};
 use sorrellock_routing::process::Revision;
 use sorrellock_routing::process::knowledge::Handover;
 use spdlog::info;
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 impl Gateway {
-    /// Takes what another gateway handed over. `parsing` is the time that it took to parse.
+    /// Applies the state that another gateway handed over. `parsing` is the time that parsing took.
     pub(crate) fn apply_handover(
         self: &Rc<Self>,
         handover: Handover,
@@ -26,8 +26,8 @@
         let floor = Revision::new(handover.endpoints_at.era, handover.era_floor);
         self.knowledge.borrow_mut().begin_era(floor, now.into_std());
         let listed = handover.listed.into_iter().collect();
-        let told = handover.endpoints.iter().map(|known| &known.endpoint);
-        self.knowledge.borrow_mut().note_starts(told);
+        let endpoints = handover.endpoints.iter().map(|known| &known.endpoint);
+        self.knowledge.borrow_mut().note_starts(endpoints);
         for known in handover.endpoints {
             if self.knowledge.borrow().is_missing_at(&known.endpoint.id, known.revision) {
                 continue;
@@ -35,22 +35,22 @@
             self.apply_endpoint(known.endpoint, known.revision, from);
         }
         self.receive_left(&handover.left, handover.endpoints_at.era, from);
-        self.hear_refused(handover.refused, from);
+        self.receive_refused(handover.refused, from);
         for (id, missing_for) in &handover.missing {
             if self.knowledge.borrow_mut().hear_missing(id, *missing_for, now.into_std()) {
                 let ms = missing_for.as_millis() as u64;
                 info!("entry of an endpoint missing after an outage", kv: {
                     endpoint = id.as_str(), ms, source = from
                 });
-                // The gateways that ask on behalf of all may be those that the store turns away.
-                check_lapsed(self, id);
+                // The gateways that check on behalf of all may be ones that the store refuses, and learn of it only here.
+                check_expired(self, id);
             }
         }
         let gone = self.knowledge.borrow().unlisted(&listed);
         for id in gone {
             self.remove_endpoint(&id, from);
         }
-        self.judge_starts(from);
+        self.evaluate_starts(from);
         self.knowledge.borrow_mut().advance(handover.endpoints_at);
         self.refresh_paths();
     }
--- a/crates/gateway/src/process/store/incarnations.rs
+++ b/crates/gateway/src/process/store/incarnations.rs
@@ -1,4 +1,4 @@
-//! Incarnations of endpoints: what tells first of a new one ends the one before everywhere in the process.
+//! Incarnations of endpoints. The first evidence of a new incarnation ends the previous one everywhere in the process.
 
 use crate::process::{Count, EndedIncarnation, Gateway};
 use sorrellock_platform::{Client, read_report};
@@ -10,31 +10,31 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time for the report that settles which of two incarnations is the present one: a hundred round trips inside a
+/// Time limit for the report that shows which of two incarnations is the current one: a hundred round trips inside a
 /// region.
-const SETTLE_LIMIT: Duration = Duration::from_millis(250);
-/// What told of a new incarnation, for log lines: a report, or health that tells a start.
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Source of a new incarnation in log lines: a report, or a health answer with a start time.
 const OWN_ANSWER: &str = "its report";
 
-/// Whose answer it was.
+/// Which incarnation an answer came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AnswerOf {
-    /// The incarnation that was asked.
+    /// The incarnation that the request was for.
     SameIncarnation,
-    /// Another incarnation, or one that was over by then: it tells nothing of the one that was asked.
+    /// Another incarnation, or one that had ended by then: the answer says nothing about the requested one.
     OtherIncarnation,
-    /// It tells no start, while the entry does.
-    Untold,
+    /// Unknown: the answer has no start time, while the entry has one.
+    WithoutStart,
 }
 
 impl Gateway {
-    /// Whether an incarnation is over, as far as any news tells.
+    /// Returns whether an incarnation has ended, by any entry or answer received so far.
     pub(crate) fn has_ended(&self, incarnation: &Incarnation) -> bool {
         self.incarnations.borrow().has_ended(incarnation)
     }
 
-    /// The entry as it is to be taken, with the incarnation that it ends; nothing if it is late news, or only
-    /// the endpoint can tell.
+    /// Returns the entry to apply, with the incarnation that it ends, or `None` if the entry is outdated or only the
+    /// endpoint itself can settle which incarnation is current.
     pub(crate) fn incarnation_of_entry(
         self: &Rc<Self>,
         endpoint: Endpoint,
@@ -66,46 +66,46 @@
                     endpoint = incarnation.id.as_str(), started, era = revision.era,
                     revision = revision.count, source
                 });
-                self.settle(endpoint, revision);
+                self.resolve_contradiction(endpoint, revision);
                 None
             }
         }
     }
 
-    /// Asks an engine whether the incarnation of an entry is the present one, and takes the entry if it is.
-    /// Other services have no report: there the next entry tells.
-    fn settle(self: &Rc<Self>, endpoint: Endpoint, revision: Revision) {
+    /// Requests an engine's report to find out whether the incarnation of an entry is the current one, and applies the
+    /// entry if it is. Endpoints that aren't engines have no report: there the next entry decides.
+    fn resolve_contradiction(self: &Rc<Self>, endpoint: Endpoint, revision: Revision) {
         if endpoint.card.is_none() {
             return;
         }
         let gateway = Rc::clone(self);
         tokio::task::spawn_local(async move {
             gateway.counters.add(Count::Reports);
-            let asked = Instant::now();
+            let requested_at = Instant::now();
             let client = Client::new(endpoint.addr);
-            let Ok(report) = read_report(&client, SETTLE_LIMIT).await else { return };
+            let Ok(report) = read_report(&client, SETTLE_TIMEOUT).await else { return };
             let incarnation = endpoint.incarnation();
-            let news = gateway.answer_news(&incarnation.id, report.started, asked);
+            let news = gateway.classify_answer(&incarnation.id, report.started, requested_at);
             let AnswerNews::Began { ended } = news else { return };
             if report.started == incarnation.started {
-                gateway.take_entry(endpoint, revision, OWN_ANSWER);
+                gateway.apply_current_entry(endpoint, revision, OWN_ANSWER);
             }
-            gateway.on_life_found(ended, report.started);
+            gateway.on_new_incarnation_found(ended, report.started);
         });
     }
 
-    /// Takes an endpoint's own answer to a question that was put to `incarnation` at `asked`.
+    /// Applies the start time in an endpoint's answer to a request that was sent to `incarnation` at `requested_at`.
     pub(crate) fn on_answer_of(
         &self,
         incarnation: &Incarnation,
         addr: SocketAddr,
         started: Option<StartMillis>,
-        asked: Instant,
+        requested_at: Instant,
     ) -> AnswerOf {
         if started != incarnation.started && self.has_other_endpoint(incarnation, addr, started) {
             return AnswerOf::OtherIncarnation;
         }
-        match self.answer_news(&incarnation.id, started, asked) {
+        match self.classify_answer(&incarnation.id, started, requested_at) {
             AnswerNews::Present { .. } if started == incarnation.started => {
                 self.note_alive(incarnation, "its report");
                 AnswerOf::SameIncarnation
@@ -114,10 +114,10 @@
             AnswerNews::Untold => {
                 self.counters.add(Count::ReportsWithoutStart);
                 warn!("report without a start", kv: { endpoint = incarnation.id.as_str() });
-                AnswerOf::Untold
+                AnswerOf::WithoutStart
             }
             AnswerNews::Began { ended } => {
-                self.on_life_found(ended, started);
+                self.on_new_incarnation_found(ended, started);
                 AnswerOf::OtherIncarnation
             }
             AnswerNews::Late => {
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Whether the list tells of another endpoint at an address, in the incarnation that answered: a report bears
-    /// no id, and addresses are used again.
+    /// Returns whether another endpoint is listed at an address, in the incarnation that answered. A report carries no
+    /// id, and addresses are reused.
     fn has_other_endpoint(
         &self,
         incarnation: &Incarnation,
@@ -142,30 +142,36 @@
         endpoints.any(|e| e.id != incarnation.id && e.addr == addr && e.started == started)
     }
 
-    fn answer_news(&self, id: &str, started: Option<StartMillis>, asked: Instant) -> AnswerNews {
+    fn classify_answer(
+        &self,
+        id: &str,
+        started: Option<StartMillis>,
+        requested_at: Instant,
+    ) -> AnswerNews {
         let now = Instant::now().into_std();
-        let news = self.incarnations.borrow_mut().on_answer(id, started, asked.into_std(), now);
+        let news =
+            self.incarnations.borrow_mut().on_answer(id, started, requested_at.into_std(), now);
         if let AnswerNews::Present { now_over } = &news {
-            now_over.iter().for_each(|ended| self.tell_end(ended.clone(), started));
+            now_over.iter().for_each(|ended| self.announce_end(ended.clone(), started));
         }
         news
     }
 
-    /// An answer told this gateway of a new incarnation.
-    fn on_life_found(&self, ended: Incarnation, successor: Option<StartMillis>) {
+    /// Handles a new incarnation that this gateway found in an answer.
+    fn on_new_incarnation_found(&self, ended: Incarnation, successor: Option<StartMillis>) {
         let incarnation = Incarnation::new(ended.id.clone(), successor);
-        self.tell_end(ended.clone(), successor);
+        self.announce_end(ended.clone(), successor);
         self.begin_incarnation(&ended, &incarnation, OWN_ANSWER);
     }
 
-    /// Tells the other gateways at once that an incarnation is over for good.
-    fn tell_end(&self, ended: Incarnation, successor: Option<StartMillis>) {
+    /// Announces to the other gateways at once that an incarnation has ended for good.
+    fn announce_end(&self, ended: Incarnation, successor: Option<StartMillis>) {
         let end = EndedIncarnation { ended, successor };
         self.beliefs.borrow_mut().note_end(end, Instant::now());
         self.suspected.notify_one();
     }
 
-    /// Another gateway found the end of an incarnation.
+    /// Applies the end of an incarnation that another gateway found.
     pub(crate) fn receive_end(&self, end: &EndedIncarnation, instance: &str) {
         let EndedIncarnation { ended, successor } = end;
         let now = Instant::now().into_std();
@@ -177,18 +183,18 @@
         self.begin_incarnation(ended, &incarnation, instance);
     }
 
-    /// An incarnation began of which no entry tells yet: it holds nothing.
+    /// Starts an incarnation that has no entry yet, so that it holds no layers.
     fn begin_incarnation(&self, ended: &Incarnation, incarnation: &Incarnation, source: &str) {
         if !self.knowledge.borrow().is_current(incarnation) {
             self.knowledge.borrow_mut().begin_incarnation(incarnation);
         }
-        self.on_life_ended(ended, incarnation, source);
+        self.on_incarnation_ended(ended, incarnation, source);
         self.refresh_paths();
     }
 
-    /// Ends an incarnation everywhere: nothing that belonged to it is used for `incarnation`. Its paths break as paths are
-    /// worked out next, at once: for a batch of entries that is done once, behind the last of them.
-    pub(crate) fn on_life_ended(
+    /// Ends an incarnation everywhere: nothing that belonged to it is used for `incarnation`. Its paths break at the next refresh
+    /// of the paths, which follows at once; a batch of entries has one refresh, after the last entry.
+    pub(crate) fn on_incarnation_ended(
         &self,
         ended: &Incarnation,
         incarnation: &Incarnation,
@@ -203,9 +209,9 @@
         self.forget_incarnation(ended);
     }
 
-    /// Another endpoint answers at the address of an incarnation: what its entry says is of the past. It guards
-    /// plans: the entry of an instance that ended may be written late, after its successor's, and its
-    /// layers were planned for again (22 times on a day with engines that crash behind a cut).
+    /// Ends an incarnation at whose address another endpoint answers: its entry is outdated. This keeps plans correct: the
+    /// entry of an instance that ended may be written late, after its successor's, and its layers were then planned
+    /// for again (22 times in a day with engines that crash behind a network partition).
     pub(crate) fn on_replaced(&self, incarnation: &Incarnation) {
         if !self.incarnations.borrow_mut().on_replaced(incarnation) {
             return;
@@ -216,7 +222,7 @@
         self.refresh_paths();
     }
 
-    /// Nothing of an incarnation that is over is used any more.
+    /// Drops all state of an incarnation that has ended.
     fn forget_incarnation(&self, incarnation: &Incarnation) {
         self.uses.borrow_mut().remove(incarnation);
         self.probes.borrow_mut().remove(incarnation);
--- a/crates/gateway/src/process/store/logged_faults.rs
+++ b/crates/gateway/src/process/store/logged_faults.rs
@@ -1,24 +1,25 @@
-//! What the log has told of objects in the store that can't be used.
+//! Faults of unusable objects in the store that have been logged.
 
 use sorrellock_routing::process::{EntryFault, FOUND_MOST, cut};
 use std::collections::HashSet;
 
-/// The most faults of which it is remembered that the log told them; then all may be told again.
-const MOST_TOLD: usize = 1_024;
+/// The most logged faults that are remembered. At this number all are forgotten, and may be logged again.
+const MAX_LOGGED: usize = 1_024;
 
-/// What the log has told of objects in the store that can't be used: each fault once.
+/// The faults of unusable objects in the store that have been logged, so that each is logged once.
 #[derive(Default)]
 pub(crate) struct LoggedFaults {
-    told: HashSet<String>,
+    logged: HashSet<String>,
 }
 
 impl LoggedFaults {
-    /// Whether an object's fault wasn't told yet. A value that changes with each write is no news.
-    pub(crate) fn is_news(&mut self, name: &str, fault: &EntryFault) -> bool {
-        if self.told.len() >= MOST_TOLD {
-            self.told.clear();
+    /// Records an object's fault and returns whether it is new. Faults differ by object, kind and
+    /// field: a value that changes with each write makes no new fault.
+    pub(crate) fn is_new(&mut self, name: &str, fault: &EntryFault) -> bool {
+        if self.logged.len() >= MAX_LOGGED {
+            self.logged.clear();
         }
         let field = fault.field().unwrap_or_default();
-        self.told.insert(format!("{}/{:?}/{field}", cut(name, FOUND_MOST), fault.kind()))
+        self.logged.insert(format!("{}/{:?}/{field}", cut(name, FOUND_MOST), fault.kind()))
     }
 }
--- a/crates/gateway/src/process/store/mod.rs
+++ b/crates/gateway/src/process/store/mod.rs
@@ -1,10 +1,10 @@
-//! What the platform's store tells: the configuration and the endpoints, and how old that is.
+//! Follows the platform's store: the configuration, the endpoints, and the age of what is known of them.
 
 mod endpoint_check;
-mod endpoint_news;
+mod endpoint_updates;
 mod entries;
 mod eras;
-mod handed_over;
+mod handover;
 mod incarnations;
 mod logged_faults;
 mod store_contact;
@@ -12,7 +12,7 @@
 mod watcher;
 
 pub(crate) use endpoint_check::*;
-pub(crate) use endpoint_news::expire_entries;
+pub(crate) use endpoint_updates::expire_entries;
 pub(crate) use entries::*;
 pub(crate) use eras::follow_eras;
 pub(crate) use incarnations::*;
--- a/crates/gateway/src/process/store/store_contact.rs
+++ b/crates/gateway/src/process/store/store_contact.rs
@@ -1,4 +1,4 @@
-//! How old this gateway's knowledge of the store is, and what casts doubt on it.
+//! Age of this gateway's knowledge of the store, and signals that a watch may have stalled.
 
 use crate::process::{Count, Gateway};
 use sorrellock_platform::{Kind, StoreError};
@@ -8,71 +8,71 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What is heard of the store, for the kinds that are watched.
+/// Last contact with the store, for each kind that is watched.
 #[derive(Debug, Default)]
 pub(crate) struct StoreContact {
-    configuration: KindHeard,
-    endpoints: KindHeard,
+    configuration: KindContact,
+    endpoints: KindContact,
 }
 
 #[derive(Debug, Default)]
-struct KindHeard {
-    /// When the store last told this gateway all that it had, and in which era.
+struct KindContact {
+    /// When the store last sent this gateway everything up to the current state, and in which era.
     at: Cell<Option<(StoreEra, Instant)>>,
-    /// Wakes a watch that waits for news: it may wait in vain.
-    suspect_watch: Notify,
+    /// Wakes a pending watch, which may have stalled.
+    suspected: Notify,
 }
 
 impl StoreContact {
-    /// The store told all that it has of a kind, in an era.
+    /// Records that the store sent everything it has of a kind, in an era.
     pub(crate) fn set(&self, kind: Kind, era: StoreEra, at: Instant) {
         if let Some(of_kind) = self.of(kind) {
             of_kind.at.set(Some((era, at)));
         }
     }
 
-    /// Forgets what the store told before an era.
+    /// Forgets contacts before an era.
     pub(crate) fn forget_before(&self, era: StoreEra) {
         for of_kind in [&self.configuration, &self.endpoints] {
-            if of_kind.at.get().is_some_and(|(heard_in, _)| heard_in < era) {
+            if of_kind.at.get().is_some_and(|(contact_era, _)| contact_era < era) {
                 of_kind.at.set(None);
             }
         }
     }
 
-    /// How long ago it did so; nothing if it never did.
+    /// Returns the time since the last contact for a kind; `None` without one.
     pub(crate) fn age(&self, kind: Kind, now: Instant) -> Option<Duration> {
         let (_, at) = self.of(kind)?.at.get()?;
         Some(now - at)
     }
 
-    /// The same in ms.
+    /// Returns the same in ms.
     pub(crate) fn age_ms(&self, kind: Kind, now: Instant) -> Option<u64> {
         self.age(kind, now).map(|age| age.as_millis() as u64)
     }
 
-    /// A watch of a kind may wait in vain.
+    /// Signals that the watch of a kind may have stalled.
     pub(crate) fn suspect_watch(&self, kind: Kind) {
         if let Some(of_kind) = self.of(kind) {
-            of_kind.suspect_watch.notify_waiters();
+            of_kind.suspected.notify_waiters();
         }
     }
 
-    /// Another call of the store had no answer: all watches may wait in vain.
+    /// Signals that all watches may have stalled, as another call of the store got no answer.
     pub(crate) fn suspect_watches(&self) {
-        self.configuration.suspect_watch.notify_waiters();
-        self.endpoints.suspect_watch.notify_waiters();
+        self.configuration.suspected.notify_waiters();
+        self.endpoints.suspected.notify_waiters();
     }
 
-    /// Ends once something casts doubt on a watch of a kind.
-    pub(crate) async fn doubted(&self, kind: Kind) {
+    /// Waits for a signal that the watch of a kind may have stalled.
+    pub(crate) async fn watch_suspected(&self, kind: Kind) {
         match self.of(kind) {
-            Some(of_kind) => of_kind.suspect_watch.notified().await,
+            Some(of_kind) => of_kind.suspected.notified().await,
             None => std::future::pending().await,
         }
     }
 
-    fn of(&self, kind: Kind) -> Option<&KindHeard> {
+    fn of(&self, kind: Kind) -> Option<&KindContact> {
         match kind {
             Kind::Configuration => Some(&self.configuration),
             Kind::Endpoints => Some(&self.endpoints),
@@ -81,16 +81,16 @@
     }
 }
 
-/// What a choice among the endpoints rests on, for log lines.
+/// Knowledge that a choice among the endpoints is based on, for log lines.
 pub(crate) struct EndpointsKnown {
-    /// The store's revision up to which they are known.
+    /// Revision of the store up to which the endpoints are known.
     pub(crate) at: Revision,
-    /// How old that knowledge is, in ms; nothing if no gateway that is heard knows.
+    /// Age of that knowledge, in ms; `None` if no live gateway has it.
     pub(crate) age_ms: Option<u64>,
 }
 
 impl Gateway {
-    /// What a choice among the endpoints rests on right now.
+    /// Returns the knowledge that a choice among the endpoints is based on now.
     pub(crate) fn endpoints_known(&self) -> EndpointsKnown {
         let age = self.knowledge_age(Kind::Endpoints, Instant::now());
         EndpointsKnown {
@@ -99,19 +99,19 @@
         }
     }
 
-    /// How old this gateway's knowledge of a kind is: the time since the store told all that it had to this one, or to
-    /// another one that is heard and knows nothing that this one doesn't.
+    /// Returns the age of this gateway's knowledge of a kind: the time since the store sent everything to this gateway, or
+    /// to another live one that is not ahead of it.
     pub(crate) fn knowledge_age(&self, kind: Kind, now: Instant) -> Option<Duration> {
         let beliefs = self.beliefs.borrow();
         let (era, known) = (self.eras.known(), self.knowledge.borrow().known());
         let peers = beliefs.live_peers(now).filter(|peer| {
             peer.message.store_era == era && !is_ahead(kind, &peer.message.known, &known)
         });
-        let told = peers.filter_map(|peer| peer.store_contact(kind, now));
-        told.chain(self.store_contact.age(kind, now)).min()
+        let ages = peers.filter_map(|peer| peer.store_contact(kind, now));
+        ages.chain(self.store_contact.age(kind, now)).min()
     }
 
-    /// A call of the store failed.
+    /// Handles a failed call of the store.
     pub(crate) fn on_store_failed(&self, err: &StoreError) {
         self.counters.add(Count::StoreFailures);
         self.store_failed.set(Some(Instant::now()));
@@ -121,11 +121,11 @@
     }
 }
 
-/// Whether one gateway knows something of a kind that another one doesn't.
-fn is_ahead(kind: Kind, one: &Known, other: &Known) -> bool {
+/// Returns whether one gateway knows a newer state of a kind than another one.
+fn is_ahead(kind: Kind, known: &Known, other: &Known) -> bool {
     match kind {
-        Kind::Configuration => one.config > other.config,
-        Kind::Endpoints => one.endpoints_at > other.endpoints_at,
+        Kind::Configuration => known.config > other.config,
+        Kind::Endpoints => known.endpoints_at > other.endpoints_at,
         Kind::Gateways | Kind::Leads => false,
     }
 }
--- a/crates/gateway/src/process/store/watch_sharing.rs
+++ b/crates/gateway/src/process/store/watch_sharing.rs
@@ -1,4 +1,5 @@
-//! How the gateways share the watches of the store: who asks often, who leaves it to others, and how soon one that had news asks again.
+//! How the gateways share the watches of the store: which of them watch, which rely on others, and how soon a watch that brought changes
+//! is repeated.
 
 use super::watcher::Watcher;
 use sorrellock_core::process::store_watch::Rank;
@@ -8,28 +9,28 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Changes that come within this time are fetched together: a call each would cost more than
-/// their delay.
+/// Pause after a watch that brought changes: further changes within it are fetched together, as a call
+/// for each would cost more than the delay.
 const WATCH_PAUSE: Duration = Duration::from_millis(200);
-/// The same for changes of endpoints, per gateway: all watch, and the lead tells the others what
-/// matters of engines at once.
+/// The same for changes of endpoints, per gateway: all gateways watch them, and the lead sends the others
+/// the important changes of engines at once.
 const WATCH_PAUSE_PER_GATEWAY: Duration = Duration::from_millis(30);
 /// The longest such pause.
-const WATCH_PAUSE_MOST: Duration = Duration::from_millis(900);
-/// Share of the time within which an endpoint that leaves may get requests that a pause may take.
+const MAX_WATCH_PAUSE: Duration = Duration::from_millis(900);
+/// Largest share of the time within which a leaving endpoint may still get requests (`leave_within`) that a pause may take.
 const WATCH_PAUSE_SHARE: f64 = 0.45;
-/// From so many gateways on, most of them learn of endpoints from others: each change would cost a
-/// call of each.
+/// Number of gateways from which most of them learn of endpoints from others: otherwise each change
+/// would cost a store call from every gateway.
 const MANY_GATEWAYS: usize = 12;
-/// Gateways, first in order of name, that watch the store themselves; the lead does besides.
+/// Number of gateways, first in order of name, that watch the store themselves. The lead always does, too.
 const WATCHERS: Rank = 4;
-/// The fewest of them that must have heard the store of late for others to rely on them.
-const WATCHERS_LEAST: usize = 2;
-/// How late they may have heard it: a watch without news in turn, and a retry.
-const WATCHER_FRESH: Duration = Duration::from_secs(10);
+/// Gateways that must have had recent contact with the store for others to rely on them.
+const MIN_WATCHERS: usize = 2;
+/// Age up to which contact with the store counts as recent: one watch without changes, and a retry.
+const WATCHER_MAX_AGE: Duration = Duration::from_secs(10);
 
 impl Watcher {
-    /// This gateway's rank among those that are heard and watch the same.
+    /// Returns this gateway's rank among the live gateways that watch the same objects.
     pub(super) fn rank(&self) -> Rank {
         let now = Instant::now();
         let beliefs = self.gateway.beliefs.borrow();
@@ -39,46 +40,47 @@
         if is_shared { rank.min(WATCHERS) } else { rank }
     }
 
-    /// Whether other gateways tell of the endpoints, and this one needs no watch of its own. A
-    /// later watch goes on from what they told.
-    pub(super) fn leaves_it_to_others(&mut self) -> bool {
+    /// Returns whether other gateways report the endpoints, so that this one needs no watch. A later watch
+    /// continues from the revision that they have reported.
+    pub(super) fn relies_on_others(&mut self) -> bool {
         let at = self.gateway.knowledge.borrow().endpoints_at();
-        let (is_left, watchers) = self.may_leave_it(at);
-        if is_left != std::mem::replace(&mut self.is_left_to_others, is_left) {
+        let (relies, watchers) = self.may_rely_on_others(at);
+        if relies != std::mem::replace(&mut self.is_relying, relies) {
             let Revision { era, count } = at;
             info!("watch of endpoints", kv: {
-                left_to_others = is_left, watchers, era, at = count
+                left_to_others = relies, watchers, era, at = count
             });
         }
-        if is_left {
+        if relies {
             self.at = Some(at);
             self.lost_since = None;
         }
-        is_left
+        relies
     }
 
-    /// Whether others watch in its place, and how many do.
-    fn may_leave_it(&self, at: Revision) -> (bool, usize) {
+    /// Returns whether this gateway may rely on others, and how many gateways had recent contact with the store.
+    fn may_rely_on_others(&self, at: Revision) -> (bool, usize) {
         let now = Instant::now();
         let gateway = &self.gateway;
         let beliefs = gateway.beliefs.borrow();
-        let watchers = beliefs.watchers(WATCHER_FRESH, now);
-        let may_leave = at > Revision::default()
+        let watchers = beliefs.watchers(WATCHER_MAX_AGE, now);
+        let may_rely = at > Revision::default()
             && !gateway.leads.get()
             && beliefs.gateways(now) >= MANY_GATEWAYS
             && beliefs.rank(&gateway.settings.instance, now) >= WATCHERS
-            && watchers >= WATCHERS_LEAST
+            && watchers >= MIN_WATCHERS
             && !self.is_too_old();
-        (may_leave, watchers)
+        (may_rely, watchers)
     }
 
+    /// Returns the pause after a watch that brought changes.
     pub(super) fn pause(&self) -> Duration {
         if self.kind != Kind::Endpoints || self.gateway.leads.get() {
             return WATCH_PAUSE;
         }
         let gateways = self.gateway.beliefs.borrow().gateways(Instant::now());
-        let most = self.gateway.bounds.get().leave_within.mul_f64(WATCH_PAUSE_SHARE);
-        let most = most.clamp(WATCH_PAUSE, WATCH_PAUSE_MOST);
-        (WATCH_PAUSE_PER_GATEWAY * gateways as u32).clamp(WATCH_PAUSE, most)
+        let longest = self.gateway.bounds.get().leave_within.mul_f64(WATCH_PAUSE_SHARE);
+        let longest = longest.clamp(WATCH_PAUSE, MAX_WATCH_PAUSE);
+        (WATCH_PAUSE_PER_GATEWAY * gateways as u32).clamp(WATCH_PAUSE, longest)
     }
 }
--- a/crates/gateway/src/process/store/watcher.rs
+++ b/crates/gateway/src/process/store/watcher.rs
@@ -1,4 +1,4 @@
-//! Follows the configuration and the endpoints in the platform's store.
+//! Watches the configuration and the endpoints in the platform's store.
 
 use crate::process::{Count, Gateway};
 use sorrellock_core::process::store_watch::{WatchSchedule, WatchTimes};
@@ -9,12 +9,12 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How often a gateway that relies on others looks whether it still may.
-const RELY_TICK: Duration = Duration::from_millis(400);
-/// How often it is looked whether what is known has grown too old.
-const AGE_TICK: Duration = Duration::from_millis(100);
+/// How often a gateway that relies on others checks whether it still may.
+const RELY_CHECK_INTERVAL: Duration = Duration::from_millis(400);
+/// How often the age of what is known is checked during a watch.
+const AGE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Follows one kind of objects for ever.
+/// Watches one kind of objects. Never returns.
 pub(crate) async fn follow(gateway: Rc<Gateway>, store: Store, kind: Kind) {
     let schedule = WatchSchedule::new(times(&gateway, kind));
     let mut watcher = Watcher {
@@ -24,13 +24,13 @@
         at: None,
         listed_era: None,
         schedule,
-        asked: Instant::now(),
+        sent_at: Instant::now(),
         lost_since: None,
-        is_left_to_others: false,
+        is_relying: false,
     };
     loop {
-        if kind == Kind::Endpoints && watcher.leaves_it_to_others() {
-            sleep(RELY_TICK).await;
+        if kind == Kind::Endpoints && watcher.relies_on_others() {
+            sleep(RELY_CHECK_INTERVAL).await;
             continue;
         }
         watcher.schedule.set_times(times(&watcher.gateway, kind));
@@ -40,7 +40,7 @@
     }
 }
 
-/// The times for news of a kind: they are to be acted upon within the operator's bounds.
+/// Returns the watch times for a kind, so that changes take effect within the operator's bounds.
 fn times(gateway: &Gateway, kind: Kind) -> WatchTimes {
     let bounds = gateway.bounds.get();
     WatchTimes::new(match kind {
@@ -49,28 +49,28 @@
     })
 }
 
-/// Follows one kind of objects.
+/// State of the watch of one kind of objects.
 pub(super) struct Watcher {
     pub(super) gateway: Rc<Gateway>,
     store: Store,
     pub(super) kind: Kind,
-    /// Where to watch on from; none: list first.
+    /// Revision to watch from; `None` lists first.
     pub(super) at: Option<Revision>,
-    /// The era of the store that was listed last; none before the first list.
+    /// The era of the newest list; `None` before the first one.
     listed_era: Option<StoreEra>,
-    /// What to ask next.
+    /// Decides when the next call is made, and how long it waits.
     schedule: WatchSchedule,
-    /// When the call under way was sent.
-    asked: Instant,
-    /// Since when the store doesn't answer.
+    /// When the newest call was sent.
+    sent_at: Instant,
+    /// Since when store calls fail.
     pub(super) lost_since: Option<Instant>,
-    /// Other gateways tell of the endpoints.
-    pub(super) is_left_to_others: bool,
+    /// Whether this gateway relies on others for the endpoints.
+    pub(super) is_relying: bool,
 }
 
 impl Watcher {
-    /// Where a new era of the store has begun, waits until it is this gateway's turn to list anew: a count that is known says nothing in
-    /// it, also where the store would go on from there.
+    /// Waits for this gateway's turn to list again if a new era of the store has begun. Revision counts of an earlier era mean nothing
+    /// in it, even if the store would continue a watch from them.
     async fn wait_for_turn(&mut self) {
         let era = self.gateway.eras.known();
         if self.listed_era.is_none_or(|listed| listed >= era) {
@@ -84,60 +84,60 @@
 
     async fn step(&mut self) -> Result<(), StoreError> {
         self.gateway.counters.add(Count::StoreCalls);
-        self.asked = Instant::now();
+        self.sent_at = Instant::now();
         let store = self.store.with_head_limit(self.schedule.patience());
         let Some(at) = self.at else {
             let listing = store.list(self.kind).await?;
-            self.gateway.counters.store_call.record(self.asked.elapsed());
+            self.gateway.counters.store_call.record(self.sent_at.elapsed());
             self.schedule.on_answer();
             return self.on_listing(listing).await;
         };
         let wait = self.schedule.wait(self.rank());
         let changes = tokio::select! {
             changes = store.watch(self.kind, at, wait) => changes?,
-            () = self.doubted(), if !wait.is_zero() => {
+            () = self.watch_suspected(), if !wait.is_zero() => {
                 self.gateway.counters.add(Count::WatchesDoubted);
                 self.schedule.on_doubt();
                 return Ok(());
             }
             () = self.gateway.newer_era(at.era) => return Ok(()),
         };
-        let has_news = !changes.changes.is_empty() || !changes.nameless.is_empty();
+        let has_changes = !changes.changes.is_empty() || !changes.nameless.is_empty();
         self.schedule.on_answer();
         self.at = Some(changes.at.max(at));
         self.on_answer();
-        if !has_news {
-            self.note_heard(changes.at.era);
+        if !has_changes {
+            self.note_contact(changes.at.era);
             return Ok(());
         }
         self.gateway.refuse_nameless(&changes.nameless, &format!("{:?}", self.kind));
         match self.kind {
-            Kind::Endpoints => self.gateway.take_endpoint_changes(changes.changes),
+            Kind::Endpoints => self.gateway.apply_endpoint_changes(changes.changes),
             Kind::Configuration => self.on_configurations(changes.changes),
             Kind::Gateways | Kind::Leads => {}
         }
-        self.note_heard(changes.at.era);
+        self.note_contact(changes.at.era);
         self.on_endpoints_known(changes.at, "watch");
         sleep(self.pause()).await;
         Ok(())
     }
 
-    /// Ends once the watch under way may wait in vain: another call had no answer, or no gateway
-    /// that is heard was told of the store's state for too long.
-    async fn doubted(&self) {
+    /// Waits until the current watch may have stalled: another call got no answer, or no live gateway
+    /// has had contact with the store for too long.
+    async fn watch_suspected(&self) {
         tokio::select! {
-            () = self.gateway.store_contact.doubted(self.kind) => {}
-            () = self.grown_old() => {}
+            () = self.gateway.store_contact.watch_suspected(self.kind) => {}
+            () = self.became_too_old() => {}
         }
     }
 
-    async fn grown_old(&self) {
+    async fn became_too_old(&self) {
         while !self.is_too_old() {
-            sleep(AGE_TICK).await;
+            sleep(AGE_CHECK_INTERVAL).await;
         }
     }
 
-    /// Whether what all gateways that are heard know of the store is too old to rely on.
+    /// Returns whether the knowledge of the store is too old to rely on, across all live gateways.
     pub(super) fn is_too_old(&self) -> bool {
         let age = self.gateway.knowledge_age(self.kind, Instant::now());
         age.is_none_or(|age| age > self.schedule.oldest(self.rank()))
@@ -151,26 +151,26 @@
         self.gateway.refuse_nameless(&listing.nameless, &format!("{:?}", self.kind));
         match self.kind {
             Kind::Endpoints => {
-                self.gateway.take_endpoint_list(listing.objects, listing.at, after_outage);
+                self.gateway.apply_endpoint_list(listing.objects, listing.at, after_outage);
             }
             Kind::Configuration => {
                 listing.objects.iter().for_each(|object| self.on_configuration(object, "list"));
             }
             Kind::Gateways | Kind::Leads => {}
         }
-        self.note_heard(listing.at.era);
+        self.note_contact(listing.at.era);
         self.on_endpoints_known(listing.at, "list");
         Ok(())
     }
 
-    /// All that the store told is taken in.
-    fn note_heard(&self, era: StoreEra) {
+    /// Records that all changes that the store returned are applied.
+    fn note_contact(&self, era: StoreEra) {
         self.gateway.store_contact.set(self.kind, era, Instant::now());
     }
 
     fn on_endpoints_known(&self, at: Revision, source: &str) {
         if self.kind == Kind::Endpoints {
-            self.gateway.judge_starts(source);
+            self.gateway.evaluate_starts(source);
             self.gateway.knowledge.borrow_mut().advance(at);
             self.gateway.refresh_paths();
         }
@@ -180,7 +180,7 @@
         for change in changes {
             match change {
                 Change::Written(object) => self.on_configuration(&object, "watch"),
-                // The one in force stays.
+                // The configuration in force stays.
                 Change::Removed(_) => {}
             }
         }
@@ -217,14 +217,14 @@
             return;
         }
         if matches!(err, StoreError::Unreadable { .. }) {
-            // What can't be read of the history would come again with it; a list tells the present.
+            // A watch would return the same unreadable history again; a list returns the current state.
             self.at = None;
         }
         self.schedule.on_failure();
         self.gateway.on_store_failed(&err);
         if self.lost_since.is_none() {
             let (kind, text) = (format!("{:?}", self.kind), err.to_string());
-            let asked_ms = self.asked.elapsed().as_millis() as u64;
+            let asked_ms = self.sent_at.elapsed().as_millis() as u64;
             let heard_ms = self.gateway.store_contact.age_ms(self.kind, Instant::now());
             warn!("store lost", kv: {
                 kind = kind.as_str(), err = text.as_str(), asked_ms, heard_ms:?
