--- a/crates/gateway/src/process/gateway.rs
+++ b/crates/gateway/src/process/gateway.rs
@@ -1,8 +1,8 @@
 //! State shared by all parts of a gateway.
 
 use crate::process::{
-    Count, Counters, FleetState, LivePath, PathTable, Pool, ReportedSuspect, SUSPICION_DURATION,
-    StoreHeard, ToldFaults,
+    Count, Counters, FleetState, LivePath, LoggedFaults, PathTable, Pool, ReportedSuspect,
+    SUSPICION_DURATION, StoreContact,
 };
 use sorrellock_core::clock::SystemClock;
 use sorrellock_core::process::retries::Breakers;
@@ -66,7 +66,7 @@
     /// The current incarnation of each endpoint.
     pub(crate) incarnations: RefCell<Incarnations>,
     /// Faults of objects in the store that have been logged.
-    pub(crate) told_faults: RefCell<ToldFaults>,
+    pub(crate) logged_faults: RefCell<LoggedFaults>,
     pub(crate) paths: Rc<RefCell<PathTable>>,
     pub(crate) pool: RefCell<Pool>,
     pub(crate) uses: RefCell<HashMap<Incarnation, EndpointUse>>,
@@ -77,7 +77,7 @@
     /// Whether this gateway is the lead, which places layers.
     pub(crate) leads: Cell<bool>,
     /// When this gateway's data from the store was last confirmed complete.
-    pub(crate) store_heard: StoreHeard,
+    pub(crate) store_contact: StoreContact,
     /// The newest known era of the store.
     pub(crate) eras: StoreEras,
     /// When the newest era became known.
@@ -119,7 +119,7 @@
             knowledge,
             fleet_state: RefCell::default(),
             incarnations: RefCell::default(),
-            told_faults: RefCell::default(),
+            logged_faults: RefCell::default(),
             paths: Rc::default(),
             pool: RefCell::default(),
             uses: RefCell::default(),
@@ -127,7 +127,7 @@
             budgets: RefCell::default(),
             stream_paces: RefCell::default(),
             leads: Cell::new(false),
-            store_heard: StoreHeard::default(),
+            store_contact: StoreContact::default(),
             eras: StoreEras::default(),
             era_began: Cell::new(None),
             store_failed: Cell::new(None),
@@ -224,7 +224,7 @@
         let (routes, workspaces) = (cfg.routes.len(), cfg.workspaces.len());
         let before = self.knowledge.borrow().config_version();
         let now = Instant::now();
-        let heard_ms = self.store_heard.age_ms(Kind::Configuration, now);
+        let heard_ms = self.store_contact.age_ms(Kind::Configuration, now);
         if !self.knowledge.borrow_mut().apply_configuration(cfg, now.into_std()) {
             return;
         }
--- a/crates/gateway/src/process/peers/fleet_state.rs
+++ b/crates/gateway/src/process/peers/fleet_state.rs
@@ -44,7 +44,7 @@
 
 impl Peer {
     /// Returns the time since its own data of a kind was last confirmed complete by the store.
-    pub(crate) fn store_heard(&self, kind: Kind, now: Instant) -> Option<Duration> {
+    pub(crate) fn store_contact(&self, kind: Kind, now: Instant) -> Option<Duration> {
         let age_ms = match kind {
             Kind::Configuration => self.message.configuration_heard_ms,
             Kind::Endpoints => self.message.endpoints_heard_ms,
@@ -206,7 +206,7 @@
     /// Returns how many live gateways had their endpoints confirmed complete by the store within `age`.
     pub(crate) fn watchers(&self, age: Duration, now: Instant) -> usize {
         let is_fresh = |peer: &&Peer| {
-            peer.store_heard(Kind::Endpoints, now).is_some_and(|data_age| data_age < age)
+            peer.store_contact(Kind::Endpoints, now).is_some_and(|data_age| data_age < age)
         };
         self.live_peers(now).filter(is_fresh).count()
     }
--- a/crates/gateway/src/process/peers/peers.rs
+++ b/crates/gateway/src/process/peers/peers.rs
@@ -100,7 +100,7 @@
             tokens: load.tokens.max(0.0) as u32,
             streams: load.streams,
         };
-        let store_age_ms = |kind| gateway.store_heard.age_ms(kind, now).map(|ms| ms as u32);
+        let store_age_ms = |kind| gateway.store_contact.age_ms(kind, now).map(|ms| ms as u32);
         PeerMessage {
             instance: gateway.settings.instance.clone(),
             incarnation: gateway.incarnation,
@@ -245,7 +245,7 @@
         fleet_state.peers.insert(instance.clone(), Peer { addr: from, message, last_contact: now });
         drop(fleet_state);
         for end in &ended {
-            gateway.hear_end(end, &instance);
+            gateway.receive_end(end, &instance);
         }
         for incarnation in &left {
             is_changed |= gateway.remove_missing(incarnation, &instance);
