--- a/crates/bench/benches/share/slopes.rs
+++ b/crates/bench/benches/share/slopes.rs
@@ -29,7 +29,7 @@
         class: Class::Routine,
         weight: 1.0 + (ticket % 5) as f64,
         known_work: 100.0,
-        most_work: 100.0,
+        max_extra_work: 100.0,
         bytes: 0,
         deadline: SystemClock.now() + Duration::from_secs(100_000),
     };
--- a/crates/bench/benches/share/weights.rs
+++ b/crates/bench/benches/share/weights.rs
@@ -40,7 +40,7 @@
             class: Class::Routine,
             weight: WORKSPACES[workspace].0,
             known_work: prompt,
-            most_work: 1e6,
+            max_extra_work: 1e6,
             bytes: 0,
             deadline: self.clock.now() + Duration::from_secs(1_000_000),
         };
--- a/crates/core/src/process/admission/admission_queue.rs
+++ b/crates/core/src/process/admission/admission_queue.rs
@@ -29,7 +29,7 @@
     /// Work that is known beforehand, in the unit of the queue, such as tokens of the prompt.
     pub known_work: f64,
     /// The most work that may come on top.
-    pub most_work: f64,
+    pub max_extra_work: f64,
     /// What its body holds, in bytes.
     pub bytes: u64,
     /// When the caller no longer needs it.
@@ -159,7 +159,7 @@
             ticket: demand.ticket,
             weight: demand.weight,
             known: demand.known_work,
-            cost: demand.known_work + made.min(demand.most_work),
+            cost: demand.known_work + made.min(demand.max_extra_work),
             bytes: demand.bytes + QueueBounds::REQUEST_BYTES,
             deadline: demand.deadline,
         };
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -33,7 +33,7 @@
             class,
             weight: 1.0,
             known_work: WORK,
-            most_work: 0.0,
+            max_extra_work: 0.0,
             bytes: 0,
             deadline: self.clock.now() + Duration::from_secs(60),
         }
--- a/crates/core/tests/admission_fuzz.rs
+++ b/crates/core/tests/admission_fuzz.rs
@@ -55,7 +55,7 @@
             class,
             weight: 1.0,
             known_work: 10.0,
-            most_work: 0.0,
+            max_extra_work: 0.0,
             bytes: 0,
             deadline: self.clock.now() + Duration::from_secs(100_000),
         };
--- a/crates/daemon/src/entry/process/admission/work.rs
+++ b/crates/daemon/src/entry/process/admission/work.rs
@@ -53,7 +53,7 @@
 
     /// What it asks of its queue, by the row that applies.
     pub fn demand(&self, row: &Row) -> Demand {
-        let (known_work, most_work, bytes) = match self {
+        let (known_work, max_extra_work, bytes) = match self {
             Work::Pipeline(new) => {
                 let bytes = size_of_val(&new.asked.prompt[..]);
                 (self.prompt_tokens(), f64::from(new.asked.max_tokens), bytes)
@@ -66,7 +66,7 @@
             class: row.class,
             weight: row.weight,
             known_work,
-            most_work,
+            max_extra_work,
             bytes: bytes as u64,
             deadline: self.deadline(),
         }
