--- a/crates/core/src/process/admission/admission_queue.rs
+++ b/crates/core/src/process/admission/admission_queue.rs
@@ -58,7 +58,7 @@
     /// It ran, and is charged by the time that it took, in milliseconds.
     RanFor,
     /// It did not run, as no endpoint had room.
-    NoRoom,
+    NoCapacity,
     /// It did not run, for another reason.
     NotRun,
 }
@@ -196,11 +196,11 @@
         let work = match ended {
             Ended::Ran { work } => work,
             Ended::RanFor => time.as_secs_f64() * 1e3,
-            Ended::NoRoom | Ended::NotRun => 0.0,
+            Ended::NoCapacity | Ended::NotRun => 0.0,
         };
         line.queue.finish(&running.workspace, running.weight, work - running.charged);
         match ended {
-            Ended::NoRoom => self.window.refused(),
+            Ended::NoCapacity => self.window.refused(),
             Ended::NotRun => {}
             Ended::Ran { .. } | Ended::RanFor => {
                 self.window.succeeded();
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -179,7 +179,7 @@
 fn refusals_for_want_of_room_narrow_the_window_and_successes_widen_it() {
     let mut fixture = Fixture::new(100);
     fixture.offer("a", Class::Routine);
-    fixture.queue.finish(1, Ended::NoRoom);
+    fixture.queue.finish(1, Ended::NoCapacity);
     let narrow = fixture.queue.window().size();
 
     for ticket in 2..1000 {
--- a/crates/daemon/src/entry/process/calls.rs
+++ b/crates/daemon/src/entry/process/calls.rs
@@ -258,7 +258,7 @@
         let count = if problem.outcome == "not-run" { Count::NotRun } else { Count::Unknown };
         self.counters.count(count);
         let ended = match problem.status {
-            503 => Ended::NoRoom,
+            503 => Ended::NoCapacity,
             _ if problem.outcome == "not-run" => Ended::NotRun,
             _ => Ended::RanFor,
         };
--- a/crates/daemon/src/entry/process/limits/limit_desk.rs
+++ b/crates/daemon/src/entry/process/limits/limit_desk.rs
@@ -105,7 +105,7 @@
                 state.table.end(&key, tokens, work);
             }
             Ended::RanFor => state.table.end(&key, tokens, tokens),
-            Ended::NoRoom | Ended::NotRun => state.table.undo(&key, tokens),
+            Ended::NoCapacity | Ended::NotRun => state.table.undo(&key, tokens),
         }
     }
 
