--- a/crates/bench/benches/share/slopes.rs
+++ b/crates/bench/benches/share/slopes.rs
@@ -4,7 +4,7 @@
 use sorrellock_core::clock::{Clock, ManualClock, SystemClock};
 use sorrellock_core::process::admission::{AdmissionQueue, Demand, Ended, QueueBounds};
 use sorrellock_core::process::grants::{
-    Amount, Keeper, Keeping, LimitKey, LimitTable, Limits, Spend, StartLevel,
+    Amount, Keeper, KeeperView, LimitKey, LimitTable, Limits, Spend, StartLevel,
 };
 use sorrellock_core::process::membership::rendezvous;
 use sorrellock_core::version::Class;
@@ -112,9 +112,9 @@
     LimitKey { workspace: format!("workspace-{workspace}"), kind: "default".into() }
 }
 
-fn keeping(key: &LimitKey) -> Keeping {
+fn keeping(key: &LimitKey) -> KeeperView {
     let keeper = rendezvous(key.to_string().as_bytes(), 1..=ENTRIES);
-    Keeping { keeper, entries: ENTRIES as usize }
+    KeeperView { keeper, entries: ENTRIES as usize }
 }
 
 /// Measures.
--- a/crates/core/src/process/grants/limit_table.rs
+++ b/crates/core/src/process/grants/limit_table.rs
@@ -1,6 +1,6 @@
 //! All limits of one entry.
 
-use super::{Grant, GrantAsk, Keeping, LimitKey, Limits, Share, Spend};
+use super::{Grant, GrantAsk, KeeperView, LimitKey, Limits, Share, Spend};
 use crate::clock::Clock;
 use crate::id::Incarnation;
 use std::collections::HashMap;
@@ -32,7 +32,7 @@
     }
 
     /// A new request asks to go on, and `tokens` are expected of it.
-    pub fn arrive(&mut self, key: &LimitKey, limits: Limits, tokens: f64, by: Keeping) -> Spend {
+    pub fn arrive(&mut self, key: &LimitKey, limits: Limits, tokens: f64, by: KeeperView) -> Spend {
         let now = self.clock.now();
         if !self.shares.contains_key(key) {
             self.shares.insert(key.clone(), Share::new(now, key.clone(), limits));
@@ -43,7 +43,7 @@
     }
 
     /// A request that waited for an answer asks again.
-    pub fn spend(&mut self, key: &LimitKey, tokens: f64, by: Keeping) -> Spend {
+    pub fn spend(&mut self, key: &LimitKey, tokens: f64, by: KeeperView) -> Spend {
         let now = self.clock.now();
         self.shares.get_mut(key).map_or(Spend::Asked, |share| share.spend(now, tokens, by))
     }
@@ -65,7 +65,7 @@
     }
 
     /// The question to send on a key now, if any.
-    pub fn ask(&mut self, key: &LimitKey, waiting: usize, by: Keeping) -> Option<GrantAsk> {
+    pub fn ask(&mut self, key: &LimitKey, waiting: usize, by: KeeperView) -> Option<GrantAsk> {
         let now = self.clock.now();
         self.shares.get_mut(key)?.ask(now, waiting, by, &mut self.number)
     }
--- a/crates/core/src/process/grants/share.rs
+++ b/crates/core/src/process/grants/share.rs
@@ -47,7 +47,7 @@
 
 /// Who keeps a limit, and among how many entries, as the entry knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Keeping {
+pub struct KeeperView {
     /// The keeper, if one is known.
     pub keeper: Option<Incarnation>,
     /// Entries that are live, this one included.
@@ -127,14 +127,14 @@
     }
 
     /// A new request that is expected to take `tokens` asks to go on.
-    pub fn arrive(&mut self, now: Instant, tokens: f64, keeping: Keeping) -> Spend {
+    pub fn arrive(&mut self, now: Instant, tokens: f64, keeping: KeeperView) -> Spend {
         self.used_at = now;
         self.demand.add(now, Amount::new(1.0, tokens));
         self.spend(now, tokens, keeping)
     }
 
     /// A request that arrived before asks again, after the keeper's answer.
-    pub fn spend(&mut self, now: Instant, tokens: f64, keeping: Keeping) -> Spend {
+    pub fn spend(&mut self, now: Instant, tokens: f64, keeping: KeeperView) -> Spend {
         self.lapse(now);
         self.check_timeout(now, keeping);
         if self.alone_since.is_some() {
@@ -181,7 +181,7 @@
         &mut self,
         now: Instant,
         waiting: usize,
-        keeping: Keeping,
+        keeping: KeeperView,
         number: &mut u64,
     ) -> Option<GrantAsk> {
         self.lapse(now);
@@ -259,7 +259,7 @@
 
     /// What it spends a second while no keeper answers: its last share, and at the least a part of
     /// an equal one; after a while, no more than an equal one.
-    pub fn alone_rate(&self, now: Instant, keeping: Keeping) -> Amount {
+    pub fn alone_rate(&self, now: Instant, keeping: KeeperView) -> Amount {
         let equal = self.limits.rate * (1.0 / keeping.entries.max(1) as f64);
         let since = self.alone_since.unwrap_or(now);
         let last = self.last_share.min(self.limits.rate).max(equal * LEAST_ALONE);
@@ -267,7 +267,7 @@
         if long { last.min(equal) } else { last }
     }
 
-    fn spend_alone(&mut self, now: Instant, tokens: f64, keeping: Keeping) -> Spend {
+    fn spend_alone(&mut self, now: Instant, tokens: f64, keeping: KeeperView) -> Spend {
         let rate = self.alone_rate(now, keeping);
         let passed = now.saturating_duration_since(self.alone_at).as_secs_f64();
         let most = (rate * HORIZON.as_secs_f64()).max(Amount::new(1.0, 1.0));
@@ -335,7 +335,7 @@
     }
 
     /// The first request after a quiet time need not wait for the keeper: it is told as a debt.
-    fn may_go_on_credit(&self, now: Instant, keeping: Keeping) -> bool {
+    fn may_go_on_credit(&self, now: Instant, keeping: KeeperView) -> bool {
         let quiet = self.asked.is_none() && now >= self.ask_after && self.balance.requests >= 0.0;
         let slots = CREDIT_SLOTS * keeping.entries;
         quiet
--- a/crates/core/src/process/grants/share/silence.rs
+++ b/crates/core/src/process/grants/share/silence.rs
@@ -1,6 +1,6 @@
 //! What an entry does while the keeper is silent, and with grants that it slept through.
 
-use super::{ASK_TIMEOUT, Asked, GRANT_LIFETIME, Keeping, Share};
+use super::{ASK_TIMEOUT, Asked, GRANT_LIFETIME, KeeperView, Share};
 use crate::process::grants::Amount;
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,7 @@
 
 impl Share {
     /// A keeper that doesn't answer, or is no more: the entry goes on alone.
-    pub(super) fn check_timeout(&mut self, now: Instant, keeping: Keeping) {
+    pub(super) fn check_timeout(&mut self, now: Instant, keeping: KeeperView) {
         let gone = |asked: &Asked| keeping.keeper != Some(asked.keeper);
         let timeout = self.timeout();
         let silent = |asked: &Asked| now.saturating_duration_since(asked.at) >= timeout;
--- a/crates/core/tests/grants.rs
+++ b/crates/core/tests/grants.rs
@@ -2,7 +2,7 @@
 
 use sorrellock_core::clock::ManualClock;
 use sorrellock_core::process::grants::{
-    Amount, Grant, GrantAsk, Keeper, Keeping, LimitKey, LimitTable, Limits, Spend, StartLevel,
+    Amount, Grant, GrantAsk, Keeper, KeeperView, LimitKey, LimitTable, Limits, Spend, StartLevel,
 };
 use std::time::Duration;
 
@@ -26,8 +26,8 @@
     Keeper::new(clock.clone(), start)
 }
 
-fn by_keeper() -> Keeping {
-    Keeping { keeper: Some(KEEPER), entries: 2 }
+fn by_keeper() -> KeeperView {
+    KeeperView { keeper: Some(KEEPER), entries: 2 }
 }
 
 /// An entry and what it was allowed.
--- a/crates/daemon/src/entry/process/limits/known_entries.rs
+++ b/crates/daemon/src/entry/process/limits/known_entries.rs
@@ -1,7 +1,7 @@
 //! The entries among which limits are shared, and which of them keeps one.
 
 use sorrellock_core::id::Incarnation;
-use sorrellock_core::process::grants::{Keeping, LimitKey};
+use sorrellock_core::process::grants::{KeeperView, LimitKey};
 use sorrellock_core::process::membership::{Member, MembershipView, Standing, rendezvous};
 use sorrellock_core::process::{DaemonRole, Liveness};
 use sorrellock_core::request::Peer;
@@ -43,13 +43,13 @@
 
     /// Who keeps a limit: nobody where this entry lost sight of most others, as it may be this one
     /// that is cut off; it then goes on with its last share.
-    pub fn keeping(&self, key: &LimitKey) -> Keeping {
+    pub fn keeping(&self, key: &LimitKey) -> KeeperView {
         let entries = self.trusted.len() + self.lost;
         if self.is_cut_off() {
-            return Keeping { keeper: None, entries };
+            return KeeperView { keeper: None, entries };
         }
         let trusted = self.trusted.iter().map(|entry| entry.incarnation);
-        Keeping { keeper: rendezvous(key.to_string().as_bytes(), trusted), entries }
+        KeeperView { keeper: rendezvous(key.to_string().as_bytes(), trusted), entries }
     }
 
     /// The entry of an incarnation.
--- a/crates/daemon/src/entry/process/limits/limit_desk.rs
+++ b/crates/daemon/src/entry/process/limits/limit_desk.rs
@@ -8,7 +8,7 @@
 use sorrellock_core::id::{Incarnation, Sequence};
 use sorrellock_core::process::admission::{Ended, Mean};
 use sorrellock_core::process::grants::{
-    Grant, GrantAsk, Keeper, Keeping, LimitKey, LimitTable, Limits, Spend, StartLevel,
+    Grant, GrantAsk, Keeper, KeeperView, LimitKey, LimitTable, Limits, Spend, StartLevel,
 };
 use sorrellock_core::process::membership::MembershipView;
 use sorrellock_core::request::{NotRun, Peer, Refusal};
@@ -202,7 +202,7 @@
 }
 
 impl State {
-    fn keeping(&self, key: &LimitKey) -> Keeping {
+    fn keeping(&self, key: &LimitKey) -> KeeperView {
         self.entries.keeping(key)
     }
 
--- a/crates/local/src/limit_sim.rs
+++ b/crates/local/src/limit_sim.rs
@@ -4,7 +4,7 @@
 use sorrellock_core::clock::{Clock, ManualClock};
 use sorrellock_core::id::Incarnation;
 use sorrellock_core::process::grants::{
-    Grant, GrantAsk, Keeper, Keeping, LimitKey, LimitTable, Limits, Spend, StartLevel,
+    Grant, GrantAsk, Keeper, KeeperView, LimitKey, LimitTable, Limits, Spend, StartLevel,
 };
 use sorrellock_core::process::membership::rendezvous;
 use std::cmp::Reverse;
@@ -345,8 +345,8 @@
         self.nodes.iter().position(|node| node.incarnation == named)
     }
 
-    fn keeping(&self, index: usize) -> Keeping {
+    fn keeping(&self, index: usize) -> KeeperView {
         let keeper = self.keeper_for(index).map(|keeper| self.nodes[keeper].incarnation);
-        Keeping { keeper, entries: self.nodes[index].view.len().max(1) }
+        KeeperView { keeper, entries: self.nodes[index].view.len().max(1) }
     }
 }
