--- a/crates/core/src/process/admission/mod.rs
+++ b/crates/core/src/process/admission/mod.rs
@@ -1,4 +1,4 @@
-//! Admission at an entry: which request starts, which waits, and which is refused at once.
+//! Admission control at an entry: decides which requests start, wait or are refused at once.
 
 mod admission_queue;
 mod drain_rate;
--- a/crates/core/src/process/admission/window.rs
+++ b/crates/core/src/process/admission/window.rs
@@ -1,17 +1,17 @@
-//! How many requests may run at a time: follows what the endpoints take.
-
-/// Share of the window after a refusal for want of room.
-const SHRINK: f64 = 0.9;
-/// Growth for each request that ends well, as a share of the window.
-const GROW: f64 = 0.01;
-/// The least share of the known slots that is used.
-const LEAST_FACTOR: f64 = 0.125;
-/// One part in this many is kept for urgent work, and one in this many for routine work.
-const RESERVE_PART: usize = 8;
-/// One part in this many is left to routine work that waits, whatever urgent work there is.
-const ROUTINE_PART: usize = 16;
-
-/// How many requests may run at a time.
+//! Concurrency window: limits running requests by how many the endpoints accept.
+
+/// Factor on the window after an endpoint refuses for lack of capacity.
+const SHRINK_FACTOR: f64 = 0.9;
+/// Growth of the factor over one full window of successful requests; each adds its part.
+const GROWTH: f64 = 0.01;
+/// Smallest share of the known slots that is used.
+const MIN_FACTOR: f64 = 0.125;
+/// One slot in this many is reserved for urgent work.
+const RESERVE_DIVISOR: usize = 8;
+/// One slot in this many goes to waiting routine work, however much urgent work waits.
+const ROUTINE_DIVISOR: usize = 16;
+
+/// Limit on running requests: the slots of the endpoints times an adaptive factor.
 #[derive(Clone, Copy, Debug)]
 pub struct Window {
     slots: usize,
@@ -19,41 +19,41 @@
 }
 
 impl Window {
-    /// The endpoints take `slots` requests at a time.
+    /// Creates a window over all `slots` that the endpoints have.
     pub fn new(slots: usize) -> Window {
         Window { slots, factor: 1.0 }
     }
 
-    /// The endpoints now take `slots` requests at a time.
+    /// Sets the number of requests that the endpoints take at a time.
     pub fn set_slots(&mut self, slots: usize) {
         self.slots = slots;
     }
 
-    /// An endpoint had no room: others send there too.
+    /// Shrinks the window after an endpoint had no free capacity: other entries use it as well.
     pub fn refused(&mut self) {
-        self.factor = (self.factor * SHRINK).max(LEAST_FACTOR);
+        self.factor = (self.factor * SHRINK_FACTOR).max(MIN_FACTOR);
     }
 
-    /// A request ended well.
+    /// Grows the window after a successful request.
     pub fn succeeded(&mut self) {
-        self.factor = (self.factor + GROW / self.size() as f64).min(1.0);
+        self.factor = (self.factor + GROWTH / self.size() as f64).min(1.0);
     }
 
-    /// The most that run at a time; at least one, which then finds out what there is.
+    /// Returns the limit on running requests; at least one, which probes for capacity.
     pub fn size(&self) -> usize {
         ((self.slots as f64 * self.factor) as usize).max(1)
     }
 
-    /// Of these, what routine work can't take.
+    /// Returns how many of these routine work can't use.
     pub fn reserve(&self) -> usize {
         match self.size() {
             1 => 0,
-            size => (size / RESERVE_PART).max(1),
+            size => (size / RESERVE_DIVISOR).max(1),
         }
     }
 
-    /// Of these, what urgent work leaves to routine work that waits.
-    pub fn routine_part(&self) -> usize {
-        self.size() / ROUTINE_PART
+    /// Returns how many of these urgent work leaves to waiting routine work.
+    pub fn routine_minimum(&self) -> usize {
+        self.size() / ROUTINE_DIVISOR
     }
 }
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: classes, shares, bounds, deadlines.
+//! Tests of the admission queue: classes, shares, bounds and deadlines.
 
 use sorrellock_core::clock::{Clock, ManualClock};
 use sorrellock_core::process::admission::{AdmissionQueue, Demand, Ended, QueueBounds, Verdict};
@@ -50,7 +50,7 @@
         self.queue.offer(demand)
     }
 
-    /// Ends a request after some time, and starts the next.
+    /// Ends a request after some time and starts the next.
     fn end_after(&mut self, ticket: u64, time: Duration) -> Option<u64> {
         self.clock.advance(time);
         assert!(self.queue.finish(ticket, Ended::Ran { work: WORK }));
--- a/crates/core/tests/admission_fuzz.rs
+++ b/crates/core/tests/admission_fuzz.rs
@@ -1,4 +1,4 @@
-//! Admission under random floods: what must hold at each step.
+//! Fuzz test of the admission queue: checks its invariants at each step of a random flood.
 
 use quickcheck::{Arbitrary, Gen};
 use sorrellock_core::clock::{Clock, ManualClock};
@@ -10,9 +10,9 @@
 
 const SEED: u64 = 0x5eed_0002;
 const SLOTS: usize = 16;
-/// Requests that a workspace, and all, may have waiting.
+/// Waiting requests allowed per workspace and in total.
 const BOUNDS: (u64, u64) = (20, 50);
-/// A workspace that never has more waiting than this.
+/// Most waiting requests of the modest workspace, which must never be refused.
 const MODEST: u64 = 3;
 
 fn rounds() -> u64 {
@@ -22,12 +22,13 @@
 struct Fuzz {
     clock: ManualClock,
     queue: AdmissionQueue<ManualClock>,
-    /// Class and workspace of those that run or wait.
+    /// Class and workspace of each running request.
     running: HashMap<u64, (Class, usize)>,
+    /// Class and workspace of each waiting request.
     waiting: HashMap<u64, (Class, usize)>,
     tickets: u64,
     refused_modest: u64,
-    urgent_waits_with_room: u64,
+    urgent_waits_with_capacity: u64,
 }
 
 impl Fuzz {
@@ -43,7 +44,7 @@
             waiting,
             tickets: 0,
             refused_modest: 0,
-            urgent_waits_with_room: 0,
+            urgent_waits_with_capacity: 0,
         }
     }
 
@@ -65,7 +66,7 @@
             Verdict::Wait => {
                 let reserve = self.queue.window().reserve();
                 let has_reserve = class == Class::Urgent && urgent_runs < reserve;
-                self.urgent_waits_with_room += u64::from(has_reserve);
+                self.urgent_waits_with_capacity += u64::from(has_reserve);
                 self.waiting.insert(self.tickets, (class, workspace));
             }
             Verdict::Refuse(refused) => {
@@ -143,6 +144,6 @@
         }
 
         assert_eq!(fuzz.refused_modest, 0, "round {round}: a modest workspace was refused");
-        assert_eq!(fuzz.urgent_waits_with_room, 0, "round {round}: urgent work waited");
+        assert_eq!(fuzz.urgent_waits_with_capacity, 0, "round {round}: urgent work waited");
     }
 }
--- a/crates/core/tests/fair_queue_fuzz.rs
+++ b/crates/core/tests/fair_queue_fuzz.rs
@@ -1,4 +1,4 @@
-//! The fair queue against a naive one, and against exact shares by weight.
+//! Fuzz tests of the fair queue, against a naive model and against exact shares by weight.
 
 use quickcheck::{Arbitrary, Gen};
 use sorrellock_core::process::{FairQueue, Queued};
@@ -8,7 +8,7 @@
 const SEED: u64 = 0x5eed_0001;
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
-/// Rounds of the fuzz; `SORRELLOCK_FUZZ_LONG` asks for many.
+/// Number of fuzz rounds; `SORRELLOCK_FUZZ_LONG` sets many.
 fn rounds() -> u64 {
     if std::env::var_os("SORRELLOCK_FUZZ_LONG").is_some() { 20_000 } else { 300 }
 }
@@ -17,8 +17,8 @@
 enum Op {
     Push { workspace: usize, cost: u8 },
     Pop,
-    Finish { of: usize, correction: i8 },
-    Remove { of: usize },
+    Finish { pick: usize, correction: i8 },
+    Remove { pick: usize },
 }
 
 impl Arbitrary for Op {
@@ -27,8 +27,8 @@
         match u8::arbitrary(g) % 8 {
             0..=3 => Op::Push { workspace, cost: u8::arbitrary(g).max(1) },
             4 | 5 => Op::Pop,
-            6 => Op::Finish { of: usize::arbitrary(g), correction: i8::arbitrary(g) },
-            _ => Op::Remove { of: usize::arbitrary(g) },
+            6 => Op::Finish { pick: usize::arbitrary(g), correction: i8::arbitrary(g) },
+            _ => Op::Remove { pick: usize::arbitrary(g) },
         }
     }
 }
@@ -42,7 +42,7 @@
     Queued { ticket, weight: weight(workspace), known: 0.0, cost, bytes: 1, deadline }
 }
 
-/// The same rule, written down as plainly as it goes.
+/// Naive model of the same scheduling rule.
 #[derive(Default)]
 struct Naive {
     virtual_time: f64,
@@ -96,14 +96,14 @@
                     assert_eq!(ticket, naive.pop(), "round {round}");
                     started.extend(popped.map(|(workspace, _)| workspace));
                 }
-                Op::Finish { of, correction } if !started.is_empty() => {
-                    let workspace = started.swap_remove(of % started.len());
+                Op::Finish { pick, correction } if !started.is_empty() => {
+                    let workspace = started.swap_remove(pick % started.len());
                     let index = NAMES.iter().position(|name| *name == workspace).unwrap();
                     queue.finish(&workspace, weight(index), f64::from(correction));
                     naive.finish[index] += f64::from(correction) / weight(index);
                 }
-                Op::Remove { of } if tickets > 0 => {
-                    let ticket = of as u64 % tickets + 1;
+                Op::Remove { pick } if tickets > 0 => {
+                    let ticket = pick as u64 % tickets + 1;
                     assert_eq!(queue.remove(ticket).is_some(), naive.remove(ticket));
                 }
                 Op::Finish { .. } | Op::Remove { .. } => {}
@@ -141,9 +141,9 @@
 
         for a in 0..4 {
             for b in 0..4 {
-                let apart = (done[a] / weight(a) - done[b] / weight(b)).abs();
+                let difference = (done[a] / weight(a) - done[b] / weight(b)).abs();
                 let bound = largest[a] / weight(a) + largest[b] / weight(b);
-                assert!(apart <= bound + 1e-6, "round {round}: {done:?}, bound {bound}");
+                assert!(difference <= bound + 1e-6, "round {round}: {done:?}, bound {bound}");
             }
         }
     }
