--- a/crates/core/src/process/grants/amount.rs
+++ b/crates/core/src/process/grants/amount.rs
@@ -1,37 +1,37 @@
-//! What a limit counts: requests and tokens.
+//! Amount that a limit counts: requests and tokens.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, AddAssign, Mul, Sub, SubAssign};
 
-/// So many requests and so many tokens.
+/// A number of requests and a number of tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Amount {
-    /// Requests.
+    /// Number of requests.
     pub requests: f64,
-    /// Tokens, of prompts and answers.
+    /// Number of tokens, of prompts and answers.
     pub tokens: f64,
 }
 
 impl Amount {
-    /// Nothing.
+    /// No requests and no tokens.
     pub const ZERO: Amount = Amount { requests: 0.0, tokens: 0.0 };
 
-    /// So many requests and so many tokens.
+    /// Creates an amount.
     pub fn new(requests: f64, tokens: f64) -> Amount {
         Amount { requests, tokens }
     }
 
-    /// The lesser of each.
+    /// Returns the smaller number of requests and of tokens.
     pub fn min(self, other: Amount) -> Amount {
         Amount::new(self.requests.min(other.requests), self.tokens.min(other.tokens))
     }
 
-    /// The greater of each.
+    /// Returns the larger number of requests and of tokens.
     pub fn max(self, other: Amount) -> Amount {
         Amount::new(self.requests.max(other.requests), self.tokens.max(other.tokens))
     }
 
-    /// Whether there is any of either.
+    /// Returns whether either number is positive.
     pub fn is_some(self) -> bool {
         self.requests > 0.0 || self.tokens > 0.0
     }
--- a/crates/core/src/process/grants/bucket.rs
+++ b/crates/core/src/process/grants/bucket.rs
@@ -1,15 +1,15 @@
-//! A bucket that fills at a rate up to a burst.
+//! Token bucket that fills at a rate up to a burst.
 
 use super::Amount;
 use std::time::{Duration, Instant};
 
-/// A bucket holds what its rate brings in this time.
+/// Capacity of a bucket, as the time in which its rate fills it.
 pub const BURST: Duration = Duration::from_secs(1);
-/// The longest time told until there is something.
+/// Longest wait that is reported.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// A bucket of requests and tokens. It may go below nothing, where what was spent came to more
-/// than was known beforehand.
+/// Token bucket of requests and tokens. Its level may be negative, where a request took more than
+/// was expected.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
     rate: Amount,
@@ -18,29 +18,29 @@
 }
 
 impl Bucket {
-    /// A bucket that holds the share `filled` of its burst.
+    /// Creates a bucket that holds the share `filled` of its burst.
     pub fn new(now: Instant, rate: Amount, filled: f64) -> Bucket {
         let mut bucket = Bucket { rate, level: Amount::ZERO, at: now };
         bucket.level = bucket.burst() * filled;
         bucket
     }
 
-    /// The most that it holds; at least one request and one token.
+    /// Returns its capacity: at least one request and one token.
     pub fn burst(&self) -> Amount {
         (self.rate * BURST.as_secs_f64()).max(Amount::new(1.0, 1.0))
     }
 
-    /// What it fills at, a second.
+    /// Returns the fill rate per second.
     pub fn rate(&self) -> Amount {
         self.rate
     }
 
-    /// What it holds.
+    /// Returns the amount that it holds.
     pub fn level(&self) -> Amount {
         self.level
     }
 
-    /// Fills up to now; from now on at `rate`.
+    /// Fills it up to `now`, and sets the rate from then on.
     pub fn refill(&mut self, now: Instant, rate: Amount) {
         let passed = now.saturating_duration_since(self.at).as_secs_f64();
         self.at = now;
@@ -49,30 +49,30 @@
         self.level = filled.min(self.burst());
     }
 
-    /// Takes an amount out, also below nothing.
+    /// Takes an amount; the level may become negative.
     pub fn take(&mut self, amount: Amount) {
         self.level -= amount;
     }
 
-    /// Takes an amount out as far as there is something.
+    /// Takes an amount, but doesn't take the level below zero.
     pub fn drain(&mut self, amount: Amount) {
         let drained = (self.level - amount).max(Amount::ZERO);
         self.level = drained.min(self.level);
     }
 
-    /// Puts an amount back.
+    /// Puts an amount back, up to the burst.
     pub fn put_back(&mut self, amount: Amount) {
         self.level = (self.level + amount).min(self.burst());
     }
 
-    /// Whether it is as full as it gets.
+    /// Returns whether it is full.
     pub fn is_full(&self) -> bool {
         let (level, burst) = (self.level, self.burst());
         level.requests >= burst.requests && level.tokens >= burst.tokens
     }
 
-    /// When it will hold one request, and some token.
-    pub fn time_until_some(&self) -> Duration {
+    /// Returns the time until it holds one request and one token.
+    pub fn time_until_available(&self) -> Duration {
         let wait = |missing: f64, rate: f64| if missing > 0.0 { missing / rate } else { 0.0 };
         let requests = wait(1.0 - self.level.requests, self.rate.requests);
         let tokens = wait(1.0 - self.level.tokens, self.rate.tokens);
--- a/crates/core/src/process/grants/keeper.rs
+++ b/crates/core/src/process/grants/keeper.rs
@@ -1,24 +1,24 @@
-//! The keeper of limits: one bucket for each workspace and kind, out of which grants are taken.
+//! Keeper of limits: takes grants out of one bucket per workspace and kind.
 
-use super::{Amount, BURST, Bucket, Decayed, Division, Grant, GrantAsk, LimitKey, Limits};
+use super::{Amount, BURST, Bucket, DecayingSum, Division, Grant, GrantAsk, LimitKey, Limits};
 use crate::clock::Clock;
 use crate::id::Incarnation;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// After this silence an entry's requests in flight count no more.
-pub const HOLD: Duration = Duration::from_secs(3);
-/// The least time after which an entry that got too little asks again.
-const LEAST_WAIT: Duration = Duration::from_millis(50);
-/// An entry that got too little counts this long as one that wants more, once it may ask again.
-const HUNGER: Duration = Duration::from_millis(250);
-/// Past this many accounts, those that a new one would equal are closed.
+/// The slots of an entry that hasn't asked for this long are free again.
+pub const HOLDING_TIMEOUT: Duration = Duration::from_secs(3);
+/// Shortest time after which an entry that got too little asks again.
+const MIN_WAIT: Duration = Duration::from_millis(50);
+/// An entry that got too little counts as wanting more for this long after it may ask again.
+const UNSATISFIED_GRACE: Duration = Duration::from_millis(250);
+/// From this many accounts on, those whose state equals that of a new one are removed.
 const SWEEP_AT: usize = 1024;
 
-/// What an account starts from whose keeper is new: nobody knows what the one before granted.
+/// Initial level of the accounts of a new keeper, which doesn't know what the previous one granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartLevel {
-    /// Nothing.
+    /// An empty bucket.
     Empty,
     /// Half of the burst.
     Half,
@@ -27,7 +27,7 @@
 }
 
 impl StartLevel {
-    fn filled(self) -> f64 {
+    fn fill_ratio(self) -> f64 {
         match self {
             StartLevel::Empty => 0.0,
             StartLevel::Half => 0.5,
@@ -36,60 +36,61 @@
     }
 }
 
-/// What an entry holds of one key.
+/// State of one entry on one key.
 #[derive(Clone, Debug)]
 struct Holding {
     slots: u32,
     at: Instant,
     last: Grant,
     want: Amount,
-    /// Until then the entry counts as one that wants more.
-    hungry_until: Instant,
-    served: Decayed,
+    /// The entry counts as wanting more until then.
+    unsatisfied_until: Instant,
+    served: DecayingSum,
 }
 
+/// Bucket and holdings of one key.
 #[derive(Debug)]
 struct Account {
     bucket: Bucket,
-    /// Until then it is not known what the keeper before left in flight.
-    learns_until: Instant,
-    filled: f64,
+    /// Until then the number of requests in flight under the previous keeper is unknown.
+    in_flight_unknown_until: Instant,
+    fill_ratio: f64,
     holdings: HashMap<Incarnation, Holding>,
 }
 
-/// The accounts that a process keeps.
+/// All accounts that this process keeps.
 #[derive(Debug)]
 pub struct Keeper<C> {
     clock: C,
     start: StartLevel,
     accounts: HashMap<LimitKey, Account>,
-    changed: Instant,
+    members_changed_at: Instant,
     sweep_at: usize,
 }
 
 impl<C: Clock> Keeper<C> {
-    /// A keeper that has just begun.
+    /// Creates a keeper without accounts.
     pub fn new(clock: C, start: StartLevel) -> Keeper<C> {
-        let changed = clock.now();
-        Keeper { clock, start, accounts: HashMap::new(), changed, sweep_at: SWEEP_AT }
+        let members_changed_at = clock.now();
+        Keeper { clock, start, accounts: HashMap::new(), members_changed_at, sweep_at: SWEEP_AT }
     }
 
-    /// Other keepers came or went: keys may have moved here.
+    /// Records a change of the set of keepers: keys may have moved to this one.
     pub fn members_changed(&mut self) {
-        self.changed = self.clock.now();
+        self.members_changed_at = self.clock.now();
     }
 
-    /// How many accounts are open.
+    /// Returns the number of accounts.
     pub fn accounts(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Answers an entry; nothing if the question is older than one already answered.
+    /// Answers a grant request. A repeat of the last one gets the same answer, an older one `None`.
     pub fn answer(&mut self, entry: Incarnation, ask: &GrantAsk, limits: Limits) -> Option<Grant> {
         let now = self.clock.now();
         self.sweep(now);
-        let filled = if self.is_settled(now) { 1.0 } else { self.start.filled() };
-        let new = || Account::new(now, limits, filled);
+        let fill_ratio = if self.is_settled(now) { 1.0 } else { self.start.fill_ratio() };
+        let new = || Account::new(now, limits, fill_ratio);
         let account = self.accounts.entry(ask.key.clone()).or_insert_with(new);
         if let Some(holding) = account.holdings.get(&entry)
             && ask.number <= holding.last.number
@@ -99,8 +100,9 @@
         Some(account.answer(now, entry, ask, limits))
     }
 
+    /// Returns whether the set of keepers hasn't changed for twice the burst time.
     fn is_settled(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.changed) > BURST * 2
+        now.saturating_duration_since(self.members_changed_at) > BURST * 2
     }
 
     fn sweep(&mut self, now: Instant) {
@@ -113,9 +115,14 @@
 }
 
 impl Account {
-    fn new(now: Instant, limits: Limits, filled: f64) -> Account {
-        let bucket = Bucket::new(now, limits.rate, filled);
-        Account { bucket, learns_until: now + BURST, filled, holdings: HashMap::new() }
+    fn new(now: Instant, limits: Limits, fill_ratio: f64) -> Account {
+        let bucket = Bucket::new(now, limits.rate, fill_ratio);
+        Account {
+            bucket,
+            in_flight_unknown_until: now + BURST,
+            fill_ratio,
+            holdings: HashMap::new(),
+        }
     }
 
     fn answer(
@@ -129,7 +136,7 @@
         self.bucket.put_back(ask.back);
         self.bucket.take(ask.debt);
         self.bucket.drain(ask.carried);
-        let granted = self.part_of(now, entry, ask.want);
+        let granted = self.part_for(now, entry, ask.want);
         self.bucket.take(granted);
         let slots = self.slots(now, entry, ask, limits);
         let grant = Grant {
@@ -139,47 +146,52 @@
             slots,
             more_after: self.more_after(ask, granted, slots),
         };
-        self.note(now, entry, ask, &grant);
+        self.record_holding(now, entry, ask, &grant);
         grant
     }
 
-    fn note(&mut self, now: Instant, entry: Incarnation, ask: &GrantAsk, grant: &Grant) {
+    fn record_holding(&mut self, now: Instant, entry: Incarnation, ask: &GrantAsk, grant: &Grant) {
         let before = self.holdings.get(&entry).map(|holding| holding.served);
-        let mut served = before.unwrap_or(Decayed::new(now, BURST));
+        let mut served = before.unwrap_or(DecayingSum::new(now, BURST));
         served.add(now, grant.granted - ask.back);
-        let hungry = !grant.more_after.is_zero();
+        let unsatisfied = !grant.more_after.is_zero();
         let holding = Holding {
             slots: grant.slots,
             at: now,
             last: grant.clone(),
             want: ask.want,
-            hungry_until: if hungry { now + grant.more_after + HUNGER } else { now },
+            unsatisfied_until: if unsatisfied {
+                now + grant.more_after + UNSATISFIED_GRACE
+            } else {
+                now
+            },
             served,
         };
         self.holdings.insert(entry, holding);
     }
 
-    /// When to ask again, for an entry that got less than it wanted.
+    /// Returns when to ask again for an entry that got less than it wanted, else zero.
     fn more_after(&self, ask: &GrantAsk, granted: Amount, slots: u32) -> Duration {
         if granted.requests < ask.want.requests || granted.tokens < ask.want.tokens {
-            return self.bucket.time_until_some().max(LEAST_WAIT);
+            return self.bucket.time_until_available().max(MIN_WAIT);
         }
-        if slots < ask.slots { LEAST_WAIT } else { Duration::ZERO }
+        if slots < ask.slots { MIN_WAIT } else { Duration::ZERO }
     }
 
-    /// What an entry gets of what there is: where others want more too, each gets a part by what
-    /// it wants, however often and at which moment it asks. Whole requests only: parts of one at
-    /// several entries would serve nobody.
-    fn part_of(&self, now: Instant, entry: Incarnation, want: Amount) -> Amount {
+    /// Returns the amount to grant to an entry. While others want more as well, each gets a part in
+    /// proportion to what it wants, whenever and however often it asks. Requests are granted in
+    /// whole numbers: fractions of one at several entries couldn't start any.
+    fn part_for(&self, now: Instant, entry: Incarnation, want: Amount) -> Amount {
         let level = self.bucket.level().max(Amount::ZERO);
         let others = self.holdings.iter().filter(|(other, _)| **other != entry);
-        let hungry = others.map(|(_, holding)| holding).filter(|other| other.hungry_until > now);
-        let hungry: Vec<&Holding> = hungry.collect();
-        if hungry.is_empty() {
-            return floored(want.min(level));
+        let unsatisfied =
+            others.map(|(_, holding)| holding).filter(|other| other.unsatisfied_until > now);
+        let unsatisfied: Vec<&Holding> = unsatisfied.collect();
+        if unsatisfied.is_empty() {
+            return floor_requests(want.min(level));
         }
         let served = self.holdings.get(&entry).map(|own| own.served.get(now)).unwrap_or_default();
-        let of_others = hungry.iter().map(|other| (other.want, other.served.get(now)));
+        let of_others = unsatisfied.iter().map(|other| (other.want, other.served.get(now)));
         let of_others: Vec<(Amount, Amount)> = of_others.collect();
         let requests = Division::new(&of_others, |amount| amount.requests);
         let tokens = Division::new(&of_others, |amount| amount.tokens);
@@ -188,25 +200,28 @@
         Amount::new(requests, tokens)
     }
 
-    /// How many requests an entry may have in flight: what others hold stays theirs.
+    /// Returns how many requests an entry may have in flight. Slots held by others are not
+    /// reassigned.
     fn slots(&mut self, now: Instant, entry: Incarnation, ask: &GrantAsk, limits: Limits) -> u32 {
-        self.holdings.retain(|_, holding| now.saturating_duration_since(holding.at) < HOLD);
+        self.holdings
+            .retain(|_, holding| now.saturating_duration_since(holding.at) < HOLDING_TIMEOUT);
         let others = self.holdings.iter().filter(|(other, _)| **other != entry);
         let held: u32 = others.map(|(_, holding)| holding.slots).sum();
-        let filled = if now < self.learns_until { self.filled } else { 1.0 };
-        let most = (f64::from(limits.in_flight) * filled).ceil() as u32;
-        let free = most.saturating_sub(held);
+        let fill_ratio = if now < self.in_flight_unknown_until { self.fill_ratio } else { 1.0 };
+        let max_slots = (f64::from(limits.in_flight) * fill_ratio).ceil() as u32;
+        let free = max_slots.saturating_sub(held);
         ask.slots.min(free).max(ask.in_use.min(limits.in_flight.saturating_sub(held)))
     }
 
     fn is_idle(&self, now: Instant) -> bool {
         let mut bucket = self.bucket;
         bucket.refill(now, self.bucket.rate());
-        let silent = |holding: &Holding| now.saturating_duration_since(holding.at) >= HOLD;
+        let silent =
+            |holding: &Holding| now.saturating_duration_since(holding.at) >= HOLDING_TIMEOUT;
         bucket.is_full() && self.holdings.values().all(silent)
     }
 }
 
-fn floored(amount: Amount) -> Amount {
+fn floor_requests(amount: Amount) -> Amount {
     Amount::new(amount.requests.floor(), amount.tokens)
 }
--- a/crates/core/src/process/grants/message.rs
+++ b/crates/core/src/process/grants/message.rs
@@ -1,4 +1,4 @@
-//! What an entry asks of a keeper, and what it answers.
+//! Messages between an entry and the keeper of a limit.
 
 use super::Amount;
 use crate::id::{Kind, WorkspaceId};
@@ -7,17 +7,17 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Whose limit it is, and for which kind of request.
+/// Key of a limit: a workspace and a kind of request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LimitKey {
     /// The workspace.
     pub workspace: WorkspaceId,
-    /// The kind.
+    /// The kind of request.
     pub kind: Kind,
 }
 
 impl LimitKey {
-    /// The key of a row.
+    /// Returns the key of a configuration row.
     pub fn of(row: &Row) -> LimitKey {
         LimitKey { workspace: row.workspace.clone(), kind: row.kind.clone() }
     }
@@ -29,55 +29,56 @@
     }
 }
 
-/// The limits of a row.
+/// Limits of a workspace for a kind of request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Requests and tokens a second.
+    /// Requests and tokens per second.
     pub rate: Amount,
-    /// Requests in flight.
+    /// Maximum number of requests in flight.
     pub in_flight: u32,
 }
 
 impl Limits {
-    /// The limits of a row.
+    /// Returns the limits of a configuration row.
     pub fn of(row: &Row) -> Limits {
         let rate = Amount::new(row.requests_per_s, row.tokens_per_s);
         Limits { rate, in_flight: row.in_flight }
     }
 }
 
-/// From an entry to a keeper.
+/// Grant request from an entry to a keeper.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GrantAsk {
-    /// Whose limit.
+    /// The limit.
     pub key: LimitKey,
-    /// Rises with each question of this entry on this key.
+    /// Number of the grant request; increases with each one of this entry on this key.
     pub number: u64,
-    /// What the entry expects to spend soon, beyond what it has.
+    /// Amount that the entry expects to spend soon, beyond its balance.
     pub want: Amount,
-    /// What it was granted, will not spend, and gives back.
+    /// Granted amount that it won't spend and returns.
     pub back: Amount,
-    /// What it spent beyond its grants.
+    /// Amount spent beyond its grants.
     pub debt: Amount,
-    /// What it spent lately that this keeper did not grant: under another one, or alone.
+    /// Amount spent recently that this keeper did not grant: under another keeper, or without one.
     pub carried: Amount,
-    /// Requests of it in flight.
+    /// Number of its requests in flight.
     pub in_use: u32,
-    /// How many it wants to have in flight; it starts no more than it had and no more than this.
+    /// Number of requests it wants in flight. Until the answer it starts no more than this, and no
+    /// more than it was last granted.
     pub slots: u32,
 }
 
-/// From a keeper to an entry.
+/// Answer of a keeper to a grant request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Whose limit.
+    /// The limit.
     pub key: LimitKey,
-    /// Of the question.
+    /// Number of the grant request.
     pub number: u64,
-    /// What the entry may spend.
+    /// Amount that the entry may spend.
     pub granted: Amount,
-    /// How many it may have in flight.
+    /// Number of requests it may have in flight.
     pub slots: u32,
-    /// When there will be more, if it got less than it wanted.
+    /// Time until more is available; zero if it got all that it wanted.
     pub more_after: Duration,
 }
--- a/crates/core/src/process/grants/mod.rs
+++ b/crates/core/src/process/grants/mod.rs
@@ -1,12 +1,12 @@
-//! Limits over the whole fleet: the keeper of a workspace and kind hands out short grants.
+//! Fleet-wide rate limits: the keeper of a workspace and kind hands out short-lived grants.
 //!
-//! An entry spends what it was granted ([`Share`]); the keeper takes each grant out of one bucket
-//! ([`Keeper`]). Nothing depends on two processes' clocks, and a message that is lost, late or
-//! repeated can only cost the workspace a part of its limit, never add to it.
+//! An entry spends its grants ([`Share`]); the keeper takes each grant out of one token bucket
+//! ([`Keeper`]). Nothing compares the clocks of two processes. A lost, late or repeated message can
+//! only cost the workspace a part of its limit, never add to it.
 
 mod amount;
 mod bucket;
-mod decayed;
+mod decaying_sum;
 mod division;
 mod keeper;
 mod limit_table;
@@ -15,7 +15,7 @@
 
 pub use amount::*;
 pub use bucket::*;
-pub use decayed::*;
+pub use decaying_sum::*;
 pub use division::*;
 pub use keeper::*;
 pub use limit_table::*;
--- a/crates/core/src/process/grants/share.rs
+++ b/crates/core/src/process/grants/share.rs
@@ -1,71 +1,74 @@
-//! What one entry may spend of a limit: its grants, and its last share while no keeper answers.
+//! An entry's share of a limit: its grants, or its last granted rate while no keeper answers.
 
-use super::{Amount, BURST, Decayed, Grant, GrantAsk, LimitKey, Limits};
+use super::{Amount, BURST, DecayingSum, Grant, GrantAsk, LimitKey, Limits};
 use crate::id::Incarnation;
 use crate::process::admission::Mean;
 use std::time::{Duration, Instant};
 
-mod silence;
+mod standalone;
 
-/// A grant covers what the entry expects to spend in this time.
+/// A grant covers the expected spending of this time.
 const HORIZON: Duration = Duration::from_millis(200);
-/// The least time told to a caller while the entry is alone.
-const LEAST_WAIT: Duration = Duration::from_millis(50);
-/// The longest time waited for an answer, and the time where none has come yet.
+/// Shortest wait reported to a caller without a keeper, and pause between grant requests at the
+/// limit in flight.
+const MIN_WAIT: Duration = Duration::from_millis(50);
+/// Longest timeout of a grant request; used as it is before the first answer.
 pub const ASK_TIMEOUT: Duration = Duration::from_millis(500);
-/// After this time alone an entry spends no more than an equal part.
-const ALONE_LONG: Duration = Duration::from_secs(10);
-/// Alone, an entry that had no share spends this part of an equal part.
-const LEAST_ALONE: f64 = 0.125;
-/// What was granted longer ago than this is not spent any more.
+/// After this time without a keeper, an entry spends no more than an equal part of the limit.
+const STANDALONE_CAP_AFTER: Duration = Duration::from_secs(10);
+/// Without a keeper, an entry may spend at least this part of an equal part of the limit.
+const MIN_STANDALONE_PART: f64 = 0.125;
+/// Lifetime of a grant.
 const GRANT_LIFETIME: Duration = Duration::from_secs(1);
-/// A share that holds nothing is forgotten after this time.
-const FORGET: Duration = Duration::from_secs(5);
-/// Memory of the demand.
-const DEMAND_MEMORY: Duration = Duration::from_millis(500);
-/// Requests in flight are told to the keeper this often.
-const RENEW: Duration = Duration::from_millis(700);
-/// What is not used is given back if it is this part of what the limit brings in a second; less
-/// is left to lapse, which costs no message.
-const WORTH_BACK: f64 = 0.05;
-/// A request may go on before the keeper is asked where the limit in flight is this many times
-/// the number of entries.
+/// A share that holds nothing is removed after this time.
+const FORGET_AFTER: Duration = Duration::from_secs(5);
+/// Time constant of the measured demand.
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_millis(500);
+/// Requests in flight are reported to the keeper this often.
+const RENEW_INTERVAL: Duration = Duration::from_millis(700);
+/// An unused balance is returned to the keeper if it is at least this part of the limit per second.
+/// A smaller one expires, which costs no message.
+const MIN_RETURN_PART: f64 = 0.05;
+/// A request may start before the keeper is asked if the limit in flight is at least this many
+/// times the number of entries.
 const CREDIT_SLOTS: usize = 2;
-/// A share that was not asked for this long is given back.
-const IDLE: Duration = Duration::from_millis(500);
+/// A balance that wasn't used for this long is returned.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Whether a request may go on.
+/// The decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Spend {
-    /// It may, and was counted.
+    /// It may start, and has been counted.
     Allowed,
-    /// The keeper's answer will tell.
+    /// It waits for the keeper's answer.
     Asked,
-    /// It may not; there will be something after this time.
+    /// It is refused; retry after this time.
     Refused(Duration),
 }
 
-/// Who keeps a limit, and among how many entries, as the entry knows it.
+/// The keeper of a limit and the number of entries, as this entry knows them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeeperView {
     /// The keeper, if one is known.
     pub keeper: Option<Incarnation>,
-    /// Entries that are live, this one included.
+    /// Number of live entries, including this one.
     pub entries: usize,
 }
 
+/// A grant request without an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Asked {
     at: Instant,
     keeper: Incarnation,
-    /// Not answered in time; an answer is still taken.
+    /// Whether it has timed out; an answer is still applied.
     late: bool,
-    /// What it reported, which counts as not reported until it is answered.
+    /// The debt that it reported, which counts as unreported until it is answered.
     debt: Amount,
-    alone: Amount,
+    /// The amount spent without a keeper that it reported, likewise.
+    spent_standalone: Amount,
 }
 
-/// What one entry may spend of one limit.
+/// One entry's share of one limit.
 #[derive(Debug)]
 pub struct Share {
     key: LimitKey,
@@ -78,23 +81,23 @@
     asked: Option<Asked>,
     asked_at: Instant,
     answer_seconds: Mean,
-    /// After an answer that fell short: no question before this.
+    /// No grant request is sent before this time, set by an answer that granted too little.
     ask_after: Instant,
     keeper: Option<Incarnation>,
-    alone_since: Option<Instant>,
-    /// What it was granted a second before it went alone.
+    standalone_since: Option<Instant>,
+    /// Granted rate per second before it lost the keeper.
     last_share: Amount,
-    alone: Amount,
-    alone_at: Instant,
-    demand: Decayed,
-    granted: Decayed,
-    spent: Decayed,
-    spent_alone: Amount,
+    standalone_balance: Amount,
+    standalone_at: Instant,
+    demand: DecayingSum,
+    granted: DecayingSum,
+    spent: DecayingSum,
+    spent_standalone: Amount,
     used_at: Instant,
 }
 
 impl Share {
-    /// Nothing granted yet.
+    /// Creates a share without grants.
     pub fn new(now: Instant, key: LimitKey, limits: Limits) -> Share {
         Share {
             key,
@@ -109,43 +112,43 @@
             answer_seconds: Mean::default(),
             ask_after: now,
             keeper: None,
-            alone_since: None,
+            standalone_since: None,
             last_share: Amount::ZERO,
-            alone: Amount::ZERO,
-            alone_at: now,
-            demand: Decayed::new(now, DEMAND_MEMORY),
-            granted: Decayed::new(now, BURST * 2),
-            spent: Decayed::new(now, BURST),
-            spent_alone: Amount::ZERO,
+            standalone_balance: Amount::ZERO,
+            standalone_at: now,
+            demand: DecayingSum::new(now, DEMAND_TIME_CONSTANT),
+            granted: DecayingSum::new(now, BURST * 2),
+            spent: DecayingSum::new(now, BURST),
+            spent_standalone: Amount::ZERO,
             used_at: now,
         }
     }
 
-    /// The limits are these now.
+    /// Sets the limits.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
-    /// A new request that is expected to take `tokens` asks to go on.
-    pub fn arrive(&mut self, now: Instant, tokens: f64, keeping: KeeperView) -> Spend {
+    /// Checks a new request, which is expected to take `tokens`.
+    pub fn arrive(&mut self, now: Instant, tokens: f64, keeper_view: KeeperView) -> Spend {
         self.used_at = now;
         self.demand.add(now, Amount::new(1.0, tokens));
-        self.spend(now, tokens, keeping)
+        self.spend(now, tokens, keeper_view)
     }
 
-    /// A request that arrived before asks again, after the keeper's answer.
-    pub fn spend(&mut self, now: Instant, tokens: f64, keeping: KeeperView) -> Spend {
-        self.lapse(now);
-        self.check_timeout(now, keeping);
-        if self.alone_since.is_some() {
-            return self.spend_alone(now, tokens, keeping);
+    /// Checks a request again after the keeper's answer.
+    pub fn spend(&mut self, now: Instant, tokens: f64, keeper_view: KeeperView) -> Spend {
+        self.expire_balance(now);
+        self.check_timeout(now, keeper_view);
+        if self.standalone_since.is_some() {
+            return self.spend_standalone(now, tokens, keeper_view);
         }
         if self.balance.requests >= 1.0 && self.balance.tokens > 0.0 && self.in_use < self.slots {
             self.count(now, tokens);
             self.balance -= Amount::new(1.0, tokens);
             return Spend::Allowed;
         }
-        if self.may_go_on_credit(now, keeping) {
+        if self.may_start_on_credit(now, keeper_view) {
             self.count(now, tokens);
             self.balance -= Amount::new(1.0, tokens);
             return Spend::Allowed;
@@ -156,7 +159,7 @@
         Spend::Refused(self.ask_after - now)
     }
 
-    /// A request that was allowed ended; it was expected to take `tokens`, and took `actual`.
+    /// Records the end of an allowed request; it was expected to take `tokens` and took `actual`.
     pub fn end(&mut self, now: Instant, tokens: f64, actual: f64) {
         self.in_use = self.in_use.saturating_sub(1);
         let more = Amount::new(0.0, actual - tokens);
@@ -164,55 +167,55 @@
         self.spent.add(now, more);
     }
 
-    /// A request that was allowed never started: what it took is free again.
+    /// Returns what an allowed request took that never started.
     pub fn undo(&mut self, now: Instant, tokens: f64) {
         self.in_use = self.in_use.saturating_sub(1);
         let back = Amount::new(1.0, tokens);
         self.spent.add(now, back * -1.0);
-        match self.alone_since {
-            Some(_) => self.alone += back,
+        match self.standalone_since {
+            Some(_) => self.standalone_balance += back,
             None => self.balance += back,
         }
     }
 
-    /// The question to send now, if any; `waiting` requests wait for its answer. `number` counts
-    /// the questions of this process.
+    /// Returns the grant request to send now, if any; `waiting` requests wait for its answer.
+    /// `number` counts the grant requests of this process.
     pub fn ask(
         &mut self,
         now: Instant,
         waiting: usize,
-        keeping: KeeperView,
+        keeper_view: KeeperView,
         number: &mut u64,
     ) -> Option<GrantAsk> {
-        self.lapse(now);
-        self.check_timeout(now, keeping);
-        let keeper = keeping.keeper?;
+        self.expire_balance(now);
+        self.check_timeout(now, keeper_view);
+        let keeper = keeper_view.keeper?;
         if self.asked.is_some_and(|asked| !asked.late) || now < self.ask_after {
             return None;
         }
-        let idle = waiting == 0 && now.saturating_duration_since(self.used_at) > IDLE;
+        let idle = waiting == 0 && now.saturating_duration_since(self.used_at) > IDLE_TIMEOUT;
         let expected = self.expected(now);
         let slots = self.wanted_slots(expected, waiting, idle);
-        let aim = match idle {
+        let target = match idle {
             true => Amount::ZERO,
             false => expected + Amount::new(waiting as f64, 1.0),
         };
-        let want = (aim - self.balance).max(Amount::ZERO);
+        let want = (target - self.balance).max(Amount::ZERO);
         let want = Amount::new(want.requests.ceil(), want.tokens);
-        let back = if idle { self.worth_back() } else { Amount::ZERO };
-        let short = self.balance.requests < 1.0 + expected.requests / 2.0
+        let back = if idle { self.returnable() } else { Amount::ZERO };
+        let is_low = self.balance.requests < 1.0 + expected.requests / 2.0
             || self.balance.tokens <= expected.tokens / 2.0
             || slots > self.slots;
-        let told = now.saturating_duration_since(self.asked_at) < RENEW;
-        let renew = !told && (self.in_use > 0 || self.owes());
-        let needed = waiting > 0 || (short && !idle) || renew || back.is_some();
+        let reported_recently = now.saturating_duration_since(self.asked_at) < RENEW_INTERVAL;
+        let renew = !reported_recently && (self.in_use > 0 || self.has_debt());
+        let needed = waiting > 0 || (is_low && !idle) || renew || back.is_some();
         needed.then(|| {
             *number += 1;
-            self.question(now, keeper, want, back, slots, *number)
+            self.build_ask(now, keeper, want, back, slots, *number)
         })
     }
 
-    /// Takes a keeper's answer; false if it is not the one to the last question.
+    /// Applies a keeper's answer; returns false unless it answers the last grant request.
     pub fn take(&mut self, now: Instant, from: Incarnation, grant: &Grant) -> bool {
         let expected = self.asked.is_some_and(|asked| asked.keeper == from);
         if !expected || grant.number != self.number {
@@ -221,7 +224,7 @@
         let asked_at = self.asked.take().map_or(now, |asked| asked.at);
         self.answer_seconds.add(now.saturating_duration_since(asked_at).as_secs_f64());
         self.keeper = Some(from);
-        self.alone_since = None;
+        self.standalone_since = None;
         self.granted_at = asked_at;
         self.slots = grant.slots;
         if now.saturating_duration_since(asked_at) < GRANT_LIFETIME {
@@ -231,67 +234,72 @@
         if !grant.more_after.is_zero() {
             self.ask_after = now + grant.more_after;
         } else if self.in_use >= self.limits.in_flight {
-            // As many slots as are in use are no sign of the limit: a question that wants no more
-            // gets just these.
-            self.ask_after = now + LEAST_WAIT;
+            // Compares with the limit, not with the granted slots: a grant request that wants no
+            // more than the slots in use is granted just these.
+            self.ask_after = now + MIN_WAIT;
         }
         true
     }
 
-    /// Whether it holds nothing, and was not asked lately.
+    /// Returns whether it holds nothing and wasn't used recently.
     pub fn is_idle(&self, now: Instant) -> bool {
-        !self.holds_something() && now.saturating_duration_since(self.used_at) > FORGET
+        !self.holds_something() && now.saturating_duration_since(self.used_at) > FORGET_AFTER
     }
 
-    /// Whether anything would be lost with this share.
+    /// Returns whether anything would be lost if it were removed.
     pub fn holds_something(&self) -> bool {
         self.in_use > 0
             || self.slots > 0
             || self.asked.is_some()
             || self.balance != Amount::ZERO
-            || self.spent_alone.is_some()
+            || self.spent_standalone.is_some()
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_use(&self) -> u32 {
         self.in_use
     }
 
-    /// What it spends a second while no keeper answers: its last share, and at the least a part of
-    /// an equal one; after a while, no more than an equal one.
-    pub fn alone_rate(&self, now: Instant, keeping: KeeperView) -> Amount {
-        let equal = self.limits.rate * (1.0 / keeping.entries.max(1) as f64);
-        let since = self.alone_since.unwrap_or(now);
-        let last = self.last_share.min(self.limits.rate).max(equal * LEAST_ALONE);
-        let long = now.saturating_duration_since(since) > ALONE_LONG;
+    /// Returns the rate per second while no keeper answers: the last granted rate, but at least
+    /// `MIN_STANDALONE_PART` of an equal part of the limit, and after `STANDALONE_CAP_AFTER` at
+    /// most an equal part.
+    pub fn standalone_rate(&self, now: Instant, keeper_view: KeeperView) -> Amount {
+        let equal = self.limits.rate * (1.0 / keeper_view.entries.max(1) as f64);
+        let since = self.standalone_since.unwrap_or(now);
+        let last = self.last_share.min(self.limits.rate).max(equal * MIN_STANDALONE_PART);
+        let long = now.saturating_duration_since(since) > STANDALONE_CAP_AFTER;
         if long { last.min(equal) } else { last }
     }
 
-    fn spend_alone(&mut self, now: Instant, tokens: f64, keeping: KeeperView) -> Spend {
-        let rate = self.alone_rate(now, keeping);
-        let passed = now.saturating_duration_since(self.alone_at).as_secs_f64();
-        let most = (rate * HORIZON.as_secs_f64()).max(Amount::new(1.0, 1.0));
-        self.alone = (self.alone + rate * passed).min(most);
-        self.alone_at = now;
-        let equal = f64::from(self.limits.in_flight) / keeping.entries.max(1) as f64;
-        let slots = self.slots.max((equal * LEAST_ALONE) as u32);
-        if self.alone.requests >= 1.0 && self.alone.tokens > 0.0 && self.in_use < slots {
+    fn spend_standalone(&mut self, now: Instant, tokens: f64, keeper_view: KeeperView) -> Spend {
+        let rate = self.standalone_rate(now, keeper_view);
+        let passed = now.saturating_duration_since(self.standalone_at).as_secs_f64();
+        let max_balance = (rate * HORIZON.as_secs_f64()).max(Amount::new(1.0, 1.0));
+        self.standalone_balance = (self.standalone_balance + rate * passed).min(max_balance);
+        self.standalone_at = now;
+        let equal = f64::from(self.limits.in_flight) / keeper_view.entries.max(1) as f64;
+        let slots = self.slots.max((equal * MIN_STANDALONE_PART) as u32);
+        if self.standalone_balance.requests >= 1.0
+            && self.standalone_balance.tokens > 0.0
+            && self.in_use < slots
+        {
             self.count(now, tokens);
-            self.alone -= Amount::new(1.0, tokens);
-            self.spent_alone += Amount::new(1.0, tokens);
+            self.standalone_balance -= Amount::new(1.0, tokens);
+            self.spent_standalone += Amount::new(1.0, tokens);
             return Spend::Allowed;
         }
-        let missing = (1.0 - self.alone.requests).max(0.0) / rate.requests;
-        let wait = Duration::try_from_secs_f64(missing).unwrap_or(ALONE_LONG);
-        Spend::Refused(wait.clamp(LEAST_WAIT, ALONE_LONG))
+        let missing = (1.0 - self.standalone_balance.requests).max(0.0) / rate.requests;
+        let wait = Duration::try_from_secs_f64(missing).unwrap_or(STANDALONE_CAP_AFTER);
+        Spend::Refused(wait.clamp(MIN_WAIT, STANDALONE_CAP_AFTER))
     }
 
+    /// Counts a started request.
     fn count(&mut self, now: Instant, tokens: f64) {
         self.in_use += 1;
         self.spent.add(now, Amount::new(1.0, tokens));
     }
 
-    fn question(
+    fn build_ask(
         &mut self,
         now: Instant,
         keeper: Incarnation,
@@ -300,20 +308,20 @@
         slots: u32,
         number: u64,
     ) -> GrantAsk {
-        self.take_up_unanswered();
+        self.reclaim_unanswered();
         let debt = (self.balance * -1.0).max(Amount::ZERO);
         let carried = match self.keeper == Some(keeper) {
-            true => self.spent_alone,
+            true => self.spent_standalone,
             false => self.spent.get(now).max(Amount::ZERO),
         };
-        let alone = self.spent_alone;
+        let spent_standalone = self.spent_standalone;
         self.balance = (self.balance - back).max(Amount::ZERO);
         self.granted.add(now, back * -1.0);
-        self.spent_alone = Amount::ZERO;
+        self.spent_standalone = Amount::ZERO;
         self.slots = self.slots.min(slots.max(self.in_use));
         self.number = number;
         self.asked_at = now;
-        self.asked = Some(Asked { at: now, keeper, late: false, debt, alone });
+        self.asked = Some(Asked { at: now, keeper, late: false, debt, spent_standalone });
         GrantAsk {
             key: self.key.clone(),
             number: self.number,
@@ -326,42 +334,49 @@
         }
     }
 
-    /// A question that was not answered may not have come there: what it told is told again.
-    fn take_up_unanswered(&mut self) {
+    /// Takes back the amounts that an unanswered grant request reported: it may have been lost, so
+    /// the next one reports them again.
+    fn reclaim_unanswered(&mut self) {
         if let Some(asked) = self.asked.take() {
             self.balance -= asked.debt;
-            self.spent_alone += asked.alone;
+            self.spent_standalone += asked.spent_standalone;
         }
     }
 
-    /// The first request after a quiet time need not wait for the keeper: it is told as a debt.
-    fn may_go_on_credit(&self, now: Instant, keeping: KeeperView) -> bool {
-        let quiet = self.asked.is_none() && now >= self.ask_after && self.balance.requests >= 0.0;
-        let slots = CREDIT_SLOTS * keeping.entries;
-        quiet
+    /// Returns whether a request may start without a grant: the first one after an idle time need
+    /// not wait for the keeper, and is reported as a debt.
+    fn may_start_on_credit(&self, now: Instant, keeper_view: KeeperView) -> bool {
+        let is_quiescent =
+            self.asked.is_none() && now >= self.ask_after && self.balance.requests >= 0.0;
+        let slots = CREDIT_SLOTS * keeper_view.entries;
+        is_quiescent
             && self.balance.tokens >= 0.0
             && self.in_use == 0
             && self.limits.in_flight as usize >= slots
     }
 
-    fn worth_back(&self) -> Amount {
-        let (held, least) = (self.balance.max(Amount::ZERO), self.limits.rate * WORTH_BACK);
-        let is_worth = held.requests >= least.requests.max(1.0) || held.tokens >= least.tokens;
+    /// Returns the balance to give back, or zero if it isn't worth a message.
+    fn returnable(&self) -> Amount {
+        let (held, min_return) =
+            (self.balance.max(Amount::ZERO), self.limits.rate * MIN_RETURN_PART);
+        let is_worth =
+            held.requests >= min_return.requests.max(1.0) || held.tokens >= min_return.tokens;
         if is_worth { held } else { Amount::ZERO }
     }
 
-    fn owes(&self) -> bool {
-        self.balance.requests < 0.0 || self.balance.tokens < 0.0 || self.spent_alone.is_some()
+    /// Returns whether it has spent an amount that the keeper must be informed of.
+    fn has_debt(&self) -> bool {
+        self.balance.requests < 0.0 || self.balance.tokens < 0.0 || self.spent_standalone.is_some()
     }
 
-    /// What will be spent until the next grant.
+    /// Returns the expected spending until the next grant.
     fn expected(&self, now: Instant) -> Amount {
         self.demand.per_second(now) * HORIZON.as_secs_f64()
     }
 
     fn wanted_slots(&self, expected: Amount, waiting: usize, idle: bool) -> u32 {
         let more = if idle { 0.0 } else { expected.requests.ceil() + 1.0 };
-        let most = self.limits.in_flight;
-        (self.in_use + more as u32 + waiting as u32).min(most)
+        let max_slots = self.limits.in_flight;
+        (self.in_use + more as u32 + waiting as u32).min(max_slots)
     }
 }
--- a/crates/core/tests/grants.rs
+++ b/crates/core/tests/grants.rs
@@ -1,4 +1,4 @@
-//! Grants: what a keeper hands out, and what an entry makes of it.
+//! Tests of grants: what a keeper grants, and what an entry spends of it.
 
 use sorrellock_core::clock::ManualClock;
 use sorrellock_core::process::grants::{
@@ -26,11 +26,11 @@
     Keeper::new(clock.clone(), start)
 }
 
-fn by_keeper() -> KeeperView {
+fn keeper_view() -> KeeperView {
     KeeperView { keeper: Some(KEEPER), entries: 2 }
 }
 
-/// An entry and what it was allowed.
+/// An entry with one limit.
 struct Entry {
     clock: ManualClock,
     table: LimitTable<ManualClock>,
@@ -44,18 +44,19 @@
     }
 
     fn arrive(&mut self, count: usize) -> usize {
-        let allowed = (0..count)
-            .filter(|_| self.table.arrive(&key(), self.limits, 1.0, by_keeper()) == Spend::Allowed);
+        let allowed = (0..count).filter(|_| {
+            self.table.arrive(&key(), self.limits, 1.0, keeper_view()) == Spend::Allowed
+        });
         allowed.count()
     }
 
     fn ask(&mut self) -> Option<GrantAsk> {
-        self.table.ask(&key(), 1, by_keeper())
+        self.table.ask(&key(), 1, keeper_view())
     }
 
-    /// Asks `keeper` while `waiting` requests wait, if there is a question, and takes its answer.
+    /// Sends the grant request due while `waiting` requests wait, if any, and applies the answer.
     fn answer(&mut self, keeper: &mut Keeper<ManualClock>, waiting: usize) {
-        let Some(ask) = self.table.ask(&key(), waiting, by_keeper()) else { return };
+        let Some(ask) = self.table.ask(&key(), waiting, keeper_view()) else { return };
         let grant = keeper.answer(1, &ask, self.limits).expect("an answer");
         assert!(self.table.take(KEEPER, &grant), "it is the answer to the last question");
     }
@@ -151,7 +152,7 @@
 }
 
 #[test]
-fn a_grant_that_slept_is_not_spent() {
+fn an_expired_grant_is_not_spent() {
     let mut entry = Entry::new(limits(100.0, 3));
     entry.arrive(3);
     let number = entry.ask().expect("a question").number;
@@ -174,18 +175,18 @@
         entry.clock.advance(Duration::from_millis(50));
     }
 
-    let mut alone = 0;
+    let mut allowed = 0;
     for _ in 0..400 {
-        alone += entry.arrive(5);
+        allowed += entry.arrive(5);
         entry.ask();
         entry.clock.advance(Duration::from_millis(10));
     }
 
-    assert!((40..=110).contains(&alone), "{alone} in 4 s at a last share of 20/s");
+    assert!((40..=110).contains(&allowed), "{allowed} in 4 s at a last share of 20/s");
 }
 
 #[test]
-fn what_was_not_answered_is_told_again() {
+fn unanswered_amounts_are_reported_again() {
     let mut entry = Entry::new(limits(100.0, 1000));
     let on_credit = entry.arrive(1);
     let lost = entry.ask().expect("a question");
@@ -200,7 +201,8 @@
     assert!(again.number > lost.number);
 }
 
-/// A question about an answer under way is no wish for more: its keeper says that one may go on.
+/// Guards against a refusal right after a grant request that only renewed the requests in flight:
+/// it wants no more slots than are in use, and its answer must not delay the next grant request.
 #[test]
 fn a_request_right_after_a_renewal_is_not_refused() {
     let mut entry = Entry::new(limits(1000.0, 1000));
@@ -212,13 +214,13 @@
     entry.table.end(&key(), 1.0, 1.0);
 
     entry.clock.advance(Duration::from_millis(5));
-    let second = entry.table.arrive(&key(), entry.limits, 1.0, by_keeper());
+    let second = entry.table.arrive(&key(), entry.limits, 1.0, keeper_view());
 
     assert_eq!(first, 1);
     assert!(!matches!(second, Spend::Refused(_)), "{second:?}");
 }
 
-/// At the limit in flight the keeper has no more to give, and is not asked at each arrival.
+/// At the limit in flight the keeper can't grant more, and must not be asked at each arrival.
 #[test]
 fn a_request_past_the_limit_in_flight_is_refused_until_it_is_worth_asking() {
     let mut entry = Entry::new(limits(1000.0, 4));
@@ -231,7 +233,7 @@
     entry.clock.advance(Duration::from_millis(700));
     entry.answer(&mut keeper, 1);
 
-    let past = entry.table.arrive(&key(), entry.limits, 1.0, by_keeper());
+    let past = entry.table.arrive(&key(), entry.limits, 1.0, keeper_view());
 
     assert!(matches!(past, Spend::Refused(_)), "{past:?}");
     assert_eq!(entry.ask(), None);
