--- a/crates/core/src/process/retries/breakers.rs
+++ b/crates/core/src/process/retries/breakers.rs
@@ -1,4 +1,4 @@
-//! The breakers of all endpoints that failed of late.
+//! Circuit breakers of all recently used endpoints.
 
 use crate::clock::Clock;
 use crate::process::retries::{AttemptEnd, Breaker, BreakerState, Permit};
@@ -6,50 +6,50 @@
 use std::hash::Hash;
 use std::time::{Duration, Instant};
 
-/// The most endpoints with a breaker; those beyond it are let through.
+/// Maximum number of tracked endpoints; attempts at further ones are let through.
 pub const MAX_BREAKERS: usize = 16_384;
-/// A breaker of which nothing was heard for so long makes room for others.
+/// A breaker that wasn't used for this long may be removed to free capacity.
 pub const BREAKER_IDLE: Duration = Duration::from_secs(120);
 
-struct Kept {
+struct TrackedBreaker {
     breaker: Breaker,
-    used: Instant,
+    last_used: Instant,
 }
 
-/// The breakers of endpoints named by `K`.
+/// Circuit breakers by endpoint key `K`.
 pub struct Breakers<K, C> {
     clock: C,
     max: usize,
-    kept: HashMap<K, Kept>,
-    swept: Instant,
+    tracked: HashMap<K, TrackedBreaker>,
+    last_sweep: Instant,
     untracked: u64,
 }
 
 impl<K: Hash + Eq + Clone, C: Clock> Breakers<K, C> {
-    /// No endpoint is known yet.
+    /// Creates an empty set of breakers.
     pub fn new(clock: C) -> Breakers<K, C> {
-        let swept = clock.now();
-        Breakers { clock, max: MAX_BREAKERS, kept: HashMap::new(), swept, untracked: 0 }
+        let last_sweep = clock.now();
+        Breakers { clock, max: MAX_BREAKERS, tracked: HashMap::new(), last_sweep, untracked: 0 }
     }
 
-    /// Keeps at most `max` breakers.
+    /// Sets the maximum number of breakers.
     pub fn with_max(self, max: usize) -> Breakers<K, C> {
         Breakers { max, ..self }
     }
 
-    /// Lets an attempt at an endpoint through, or none now.
+    /// Returns a permit if an attempt at an endpoint may go now.
     pub fn admit(&mut self, endpoint: &K) -> Option<Permit> {
         let now = self.clock.now();
         self.breaker(endpoint, now).admit(now)
     }
 
-    /// Lets an attempt through for which there is no other endpoint.
+    /// Returns a permit in any state, for an attempt that has no other endpoint.
     pub fn force(&mut self, endpoint: &K) -> Permit {
         let now = self.clock.now();
         self.breaker(endpoint, now).force()
     }
 
-    /// Takes the end of an attempt. Tells the state if it changed to or from closed.
+    /// Records the outcome of an attempt. Returns the state if it changed to or from closed.
     pub fn on_end(
         &mut self,
         endpoint: &K,
@@ -57,78 +57,81 @@
         end: AttemptEnd,
     ) -> Option<BreakerState> {
         let now = self.clock.now();
-        let kept = self.kept.get_mut(endpoint)?;
-        kept.used = now;
-        let before = kept.breaker.state();
-        kept.breaker.on_end(now, permit, end);
-        let after = kept.breaker.state();
-        let is_news = (before == BreakerState::Closed) != (after == BreakerState::Closed);
-        is_news.then_some(after)
+        let tracked = self.tracked.get_mut(endpoint)?;
+        tracked.last_used = now;
+        let before = tracked.breaker.state();
+        tracked.breaker.on_end(now, permit, end);
+        let after = tracked.breaker.state();
+        let has_changed = (before == BreakerState::Closed) != (after == BreakerState::Closed);
+        has_changed.then_some(after)
     }
 
-    /// The state of an endpoint's breaker.
+    /// Returns the state of an endpoint's breaker.
     pub fn state(&self, endpoint: &K) -> BreakerState {
-        let kept = self.kept.get(endpoint);
-        kept.map_or(BreakerState::Closed, |kept| kept.breaker.state())
+        let tracked = self.tracked.get(endpoint);
+        tracked.map_or(BreakerState::Closed, |tracked| tracked.breaker.state())
     }
 
-    /// Endpoints whose breaker isn't closed.
+    /// Iterates over the endpoints whose breaker isn't closed.
     pub fn not_closed(&self) -> impl Iterator<Item = (&K, BreakerState)> {
-        let all = self.kept.iter().map(|(endpoint, kept)| (endpoint, kept.breaker.state()));
+        let all =
+            self.tracked.iter().map(|(endpoint, tracked)| (endpoint, tracked.breaker.state()));
         all.filter(|(_, state)| *state != BreakerState::Closed)
     }
 
-    /// How many breakers are kept.
+    /// Returns the number of tracked breakers.
     pub fn count(&self) -> usize {
-        self.kept.len()
+        self.tracked.len()
     }
 
-    /// Attempts at endpoints for whose breaker there was no room.
+    /// Returns the number of attempts at endpoints that weren't tracked for lack of capacity.
     pub fn untracked(&self) -> u64 {
         self.untracked
     }
 
-    /// The breaker of an endpoint; a closed one that isn't kept where there is no room.
-    fn breaker(&mut self, endpoint: &K, now: Instant) -> Holder<'_> {
-        if self.kept.len() >= self.max && !self.kept.contains_key(endpoint) {
+    /// Returns the breaker of an endpoint, or a closed, untracked one if the capacity is used up.
+    fn breaker(&mut self, endpoint: &K, now: Instant) -> BreakerRef<'_> {
+        if self.tracked.len() >= self.max && !self.tracked.contains_key(endpoint) {
             self.sweep(now);
-            if self.kept.len() >= self.max {
+            if self.tracked.len() >= self.max {
                 self.untracked += 1;
-                return Holder::Passing(Breaker::new(now));
+                return BreakerRef::Untracked(Breaker::new(now));
             }
         }
-        let new = || Kept { breaker: Breaker::new(now), used: now };
-        let kept = self.kept.entry(endpoint.clone()).or_insert_with(new);
-        kept.used = now;
-        Holder::Kept(&mut kept.breaker)
+        let new = || TrackedBreaker { breaker: Breaker::new(now), last_used: now };
+        let tracked = self.tracked.entry(endpoint.clone()).or_insert_with(new);
+        tracked.last_used = now;
+        BreakerRef::Tracked(&mut tracked.breaker)
     }
 
     fn sweep(&mut self, now: Instant) {
-        if now.saturating_duration_since(self.swept) < BREAKER_IDLE / 4 {
+        if now.saturating_duration_since(self.last_sweep) < BREAKER_IDLE / 4 {
             return;
         }
-        self.swept = now;
-        self.kept.retain(|_, kept| now.saturating_duration_since(kept.used) < BREAKER_IDLE);
+        self.last_sweep = now;
+        self.tracked
+            .retain(|_, tracked| now.saturating_duration_since(tracked.last_used) < BREAKER_IDLE);
     }
 }
 
-enum Holder<'a> {
-    Kept(&'a mut Breaker),
-    Passing(Breaker),
+/// Breaker that is tracked, or temporary.
+enum BreakerRef<'a> {
+    Tracked(&'a mut Breaker),
+    Untracked(Breaker),
 }
 
-impl Holder<'_> {
+impl BreakerRef<'_> {
     fn admit(&mut self, now: Instant) -> Option<Permit> {
         match self {
-            Holder::Kept(breaker) => breaker.admit(now),
-            Holder::Passing(breaker) => breaker.admit(now),
+            BreakerRef::Tracked(breaker) => breaker.admit(now),
+            BreakerRef::Untracked(breaker) => breaker.admit(now),
         }
     }
 
     fn force(&self) -> Permit {
         match self {
-            Holder::Kept(breaker) => breaker.force(),
-            Holder::Passing(breaker) => breaker.force(),
+            BreakerRef::Tracked(breaker) => breaker.force(),
+            BreakerRef::Untracked(breaker) => breaker.force(),
         }
     }
 }
--- a/crates/core/src/process/retries/mod.rs
+++ b/crates/core/src/process/retries/mod.rs
@@ -1,5 +1,4 @@
-//! What a failed attempt may lead to: a retry from a budget, and breakers before endpoints that
-//! fail.
+//! Handling of failed attempts: a retry budget, and circuit breakers for failing endpoints.
 
 mod breaker;
 mod breakers;
