--- a/crates/core/src/process/grants/limit_table.rs
+++ b/crates/core/src/process/grants/limit_table.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Returns what an allowed request took that never ran.
+    /// Undoes the charge for an allowed request that never ran.
     pub fn undo(&mut self, key: &LimitKey, tokens: f64) {
         let now = self.clock.now();
         if let Some(share) = self.shares.get_mut(key) {
--- a/crates/core/src/process/grants/share.rs
+++ b/crates/core/src/process/grants/share.rs
@@ -18,7 +18,7 @@
 const STANDALONE_CAP_AFTER: Duration = Duration::from_secs(10);
 /// Without a keeper, an entry may spend at least this part of an equal part of the limit.
 const MIN_STANDALONE_PART: f64 = 0.125;
-/// Lifetime of a grant.
+/// Lifetime of a grant; a balance granted longer ago is not spent.
 const GRANT_LIFETIME: Duration = Duration::from_secs(1);
 /// A share that holds nothing is removed after this time.
 const FORGET_AFTER: Duration = Duration::from_secs(5);
@@ -167,7 +167,7 @@
         self.spent.add(now, more);
     }
 
-    /// Returns what an allowed request took that never started.
+    /// Undoes the charge for an allowed request that never started.
     pub fn undo(&mut self, now: Instant, tokens: f64) {
         self.in_use = self.in_use.saturating_sub(1);
         let back = Amount::new(1.0, tokens);
