--- a/crates/bench/benches/share/slopes.rs
+++ b/crates/bench/benches/share/slopes.rs
@@ -4,7 +4,7 @@
 use sorrellock_core::clock::{Clock, ManualClock, SystemClock};
 use sorrellock_core::process::admission::{AdmissionQueue, Demand, Ended, QueueBounds};
 use sorrellock_core::process::grants::{
-    Amount, Keeper, Keeping, LimitKey, LimitTable, Limits, Spend, StartLevel,
+    Amount, Keeper, KeeperView, LimitKey, LimitTable, Limits, Spend, StartLevel,
 };
 use sorrellock_core::process::membership::rendezvous;
 use sorrellock_core::version::Class;
@@ -29,7 +29,7 @@
         class: Class::Routine,
         weight: 1.0 + (ticket % 5) as f64,
         known_work: 100.0,
-        most_work: 100.0,
+        max_extra_work: 100.0,
         bytes: 0,
         deadline: SystemClock.now() + Duration::from_secs(100_000),
     };
@@ -112,9 +112,9 @@
     LimitKey { workspace: format!("workspace-{workspace}"), kind: "default".into() }
 }
 
-fn keeping(key: &LimitKey) -> Keeping {
+fn keeping(key: &LimitKey) -> KeeperView {
     let keeper = rendezvous(key.to_string().as_bytes(), 1..=ENTRIES);
-    Keeping { keeper, entries: ENTRIES as usize }
+    KeeperView { keeper, entries: ENTRIES as usize }
 }
 
 /// Measures.
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: classes, shares, bounds, deadlines.
+//! Tests of the admission queue: classes, shares, bounds and deadlines.
 
 use sorrellock_core::clock::{Clock, ManualClock};
 use sorrellock_core::process::admission::{AdmissionQueue, Demand, Ended, QueueBounds, Verdict};
@@ -33,7 +33,7 @@
             class,
             weight: 1.0,
             known_work: WORK,
-            most_work: 0.0,
+            max_extra_work: 0.0,
             bytes: 0,
             deadline: self.clock.now() + Duration::from_secs(60),
         }
@@ -50,7 +50,7 @@
         self.queue.offer(demand)
     }
 
-    /// Ends a request after some time, and starts the next.
+    /// Ends a request after some time and starts the next.
     fn end_after(&mut self, ticket: u64, time: Duration) -> Option<u64> {
         self.clock.advance(time);
         assert!(self.queue.finish(ticket, Ended::Ran { work: WORK }));
@@ -179,7 +179,7 @@
 fn refusals_for_want_of_room_narrow_the_window_and_successes_widen_it() {
     let mut fixture = Fixture::new(100);
     fixture.offer("a", Class::Routine);
-    fixture.queue.finish(1, Ended::NoRoom);
+    fixture.queue.finish(1, Ended::NoCapacity);
     let narrow = fixture.queue.window().size();
 
     for ticket in 2..1000 {
