--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock that decisions read, which tests pause and advance.
+//! The clock that the state machines read. Tests pause and advance it.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,7 +6,7 @@
 
 /// A source of monotonic time.
 pub trait Clock: Clone + Send + Sync + 'static {
-    /// The present instant.
+    /// Returns the current instant.
     fn now(&self) -> Instant;
 }
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// A clock that stands still until a test advances it.
+/// A paused clock that only advances on request, for tests.
 #[derive(Clone, Debug)]
 pub struct ManualClock {
     origin: Instant,
@@ -28,12 +28,12 @@
 }
 
 impl ManualClock {
-    /// A paused clock; clones share the same time.
+    /// Creates a paused clock; clones share the same time.
     pub fn new() -> ManualClock {
         ManualClock { origin: Instant::now(), elapsed_us: Arc::default() }
     }
 
-    /// Moves the time of this clock and its clones forward, in whole microseconds.
+    /// Advances this clock and its clones, in whole microseconds.
     pub fn advance(&self, by: Duration) {
         self.elapsed_us.fetch_add(by.as_micros() as u64, Ordering::SeqCst);
     }
--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -1,10 +1,10 @@
-//! Aliases for the ids and numbers that pass between modules.
+//! Type aliases for ids and numbers shared between modules.
 
-/// Random 64 bits drawn when a process starts; a restart is a new incarnation.
+/// Random 64-bit number that a process picks at its start; a restart is a new incarnation.
 pub type Incarnation = u64;
 /// Number of a request within its entry's incarnation, counted from 1.
 pub type Sequence = u64;
-/// Number of a try at one request, counted from 1; a higher one supersedes.
+/// Number of an attempt at one request, counted from 1; a higher one supersedes lower ones.
 pub type Attempt = u32;
 /// Index of a token in a request's sequence, prompt included, from 0.
 pub type Position = u32;
@@ -14,7 +14,7 @@
 pub type Layer = u16;
 /// Index of a stage in a route, from 0.
 pub type StageIndex = u16;
-/// Version of an object in the platform's store; it only rises.
+/// Version of an object in the platform's store; it only increases.
 pub type Revision = u64;
 /// Fencing number of the lead that gave an order.
 pub type Fence = u64;
--- a/crates/core/src/process/endpoint.rs
+++ b/crates/core/src/process/endpoint.rs
@@ -1,14 +1,14 @@
-//! What a daemon tells of the endpoints that it serves.
+//! Reports of a daemon on itself and on the endpoints that it serves.
 
 use crate::id::{EndpointId, Layer, ModelId, Place, Revision, ServiceId};
 use crate::process::orders::Holding;
 use crate::request::{LayerRange, Peer};
 use serde::{Deserialize, Serialize};
 
-/// What an endpoint can do.
+/// The function of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Role {
-    /// An engine that holds some layers of a model.
+    /// An engine that holds a range of layers of a model.
     Engine {
         /// The model.
         model: ModelId,
@@ -22,34 +22,34 @@
     },
 }
 
-/// What an engine has for whoever plans which layers it is to hold.
+/// Properties of an engine that the planner of its layers needs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOffer {
-    /// The most layers that its memory takes.
+    /// Maximum number of layers that fit into its memory.
     pub capacity: Layer,
-    /// Layers that it runs a second, for one token each; only the ratio to other engines counts.
+    /// Layers per second that it runs, for one token each; only the ratio to other engines matters.
     pub speed: u32,
-    /// The layers that it is to hold next; it serves none meanwhile.
+    /// The layers that it is loading; it serves none meanwhile.
     pub loads: Option<Holding>,
 }
 
-/// One endpoint, as its daemon tells of it.
+/// The report of a daemon on one of its endpoints.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointFact {
     /// Its name.
     pub id: EndpointId,
-    /// What it can do.
+    /// Its function.
     pub role: Role,
-    /// Work waiting or running there, in steps or calls.
+    /// Waiting and running work, in steps or calls.
     pub load: u32,
-    /// How much of it runs at a time.
+    /// Maximum number of steps or calls that run at a time.
     pub slots: u32,
-    /// What it has for planning; none for what takes no orders.
+    /// Properties for planning; none for endpoints that take no orders.
     pub engine: Option<EngineOffer>,
 }
 
 impl EndpointFact {
-    /// Whether both tell the same but for their load, which changes all the time.
+    /// Returns whether both are equal except for the load, which changes all the time.
     pub fn is_same_but_for_load(&self, other: &EndpointFact) -> bool {
         let EndpointFact { id, role, load: _, slots, engine } = self;
         *id == other.id && *role == other.role && *slots == other.slots && *engine == other.engine
@@ -59,53 +59,53 @@
 /// State of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Liveness {
-    /// Takes work.
+    /// Takes new work.
     Live,
-    /// Finishes what it has, and takes no new work.
+    /// Finishes its current work and takes no new work.
     Leaving,
-    /// Is no more.
+    /// Has ended.
     Gone,
 }
 
-/// What a daemon does.
+/// The role of a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum DaemonRole {
-    /// It takes callers' requests.
+    /// Takes requests of callers.
     Entry,
-    /// It stands beside endpoints.
+    /// Runs next to endpoints and serves them.
     Beside,
 }
 
-/// A link that is slower than it should be, as its sender measured it.
+/// A link that is slower than usual, as measured by its sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DegradedLink {
-    /// Where it leads.
+    /// The place at the other end.
     pub to: Place,
-    /// How many times slower it is than usual.
+    /// Slowdown relative to the usual speed.
     pub factor: u16,
 }
 
-/// What a daemon tells of itself; a higher counter supersedes.
+/// The report of a daemon on itself; a higher counter supersedes lower ones.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceFact {
     /// The process.
     pub peer: Peer,
     /// Its place.
     pub place: Place,
-    /// What it does.
+    /// Its role.
     pub role: DaemonRole,
-    /// Orders the incarnations that listened at one address: the higher one is there now.
+    /// Orders the incarnations at one address: the one with the highest generation listens there now.
     pub generation: u64,
-    /// Grows with each change within the incarnation.
+    /// Increases with each change within the incarnation.
     pub counter: u64,
     /// The counter at which role, place, endpoints or degraded links last changed.
     pub profile: u64,
     /// Its state.
     pub liveness: Liveness,
-    /// All configuration up to this revision of the store is in force there.
+    /// Configuration up to this revision of the store is in force there.
     pub applied: Revision,
     /// The endpoints that it serves.
     pub endpoints: Vec<EndpointFact>,
-    /// Its links that are slower than they should be.
+    /// Its links that are slower than usual.
     pub degraded: Vec<DegradedLink>,
 }
--- a/crates/core/src/process/membership/config.rs
+++ b/crates/core/src/process/membership/config.rs
@@ -2,24 +2,24 @@
 
 use std::time::Duration;
 
-/// Settings of membership. Defaults stand in the constants of this type.
+/// Settings of membership. The constants of this type are the defaults.
 #[derive(Clone, Debug)]
 pub struct MembershipConfig {
-    /// Time between ticks; one probe starts in each.
+    /// Time between ticks; each tick starts one probe.
     pub interval: Duration,
-    /// How long a probed member has to answer by itself.
+    /// Time limit for a direct answer of a probed member.
     pub direct_timeout: Duration,
-    /// How long it has to answer through others after that.
+    /// Additional time limit for an answer relayed by other members.
     pub indirect_timeout: Duration,
-    /// How long a suspected member has to refute that.
+    /// Time for a suspected member to refute the suspicion.
     pub suspicion: Duration,
-    /// How long the gone are remembered.
+    /// How long gone members are remembered.
     pub tombstone: Duration,
-    /// How long a place may be silent before its members get no work.
+    /// How long a place may be silent until its members get no more work.
     pub cut_off_after: Duration,
     /// How long the members of a silent place are remembered.
     pub cut_off_tombstone: Duration,
-    /// The most members remembered.
+    /// Maximum number of members remembered.
     pub max_members: usize,
 }
 
@@ -41,7 +41,7 @@
     /// Default of `max_members`.
     pub const MAX_MEMBERS: usize = 4096;
 
-    /// The defaults.
+    /// Returns the defaults.
     pub fn new() -> MembershipConfig {
         MembershipConfig {
             interval: MembershipConfig::INTERVAL,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Bounds the members remembered.
+    /// Sets the maximum number of members remembered.
     pub fn with_max_members(mut self, max_members: usize) -> MembershipConfig {
         self.max_members = max_members;
         self
--- a/crates/core/src/process/membership/event.rs
+++ b/crates/core/src/process/membership/event.rs
@@ -1,4 +1,4 @@
-//! Changes of state that a person may want to read of.
+//! Changes of membership, for logs and dumps.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,32 +12,32 @@
     Leaving,
     /// An instance did not answer.
     Suspected,
-    /// A suspected instance answered after all.
+    /// A suspected instance refuted the suspicion.
     Refuted,
-    /// An instance is no more.
+    /// An instance ended or is unreachable.
     Gone,
-    /// An instance that had counted as gone is back.
+    /// An instance that was marked as gone is present again.
     Returned,
     /// Another process listens at an instance's address.
     Superseded,
-    /// An instance is remembered no longer.
+    /// An instance was removed from the table.
     Forgotten,
-    /// Nothing has come from a place for a while.
+    /// A place has been silent for too long.
     PlaceCutOff,
-    /// Something came from a place again.
+    /// A silent place is reachable again.
     PlaceBack,
-    /// Others had held this process for suspected or gone.
+    /// Others had marked this process as suspected or gone.
     RefutedSelf,
-    /// This process stood still for a while.
+    /// This process was paused.
     Paused,
-    /// The platform's list says that an instance is leaving.
+    /// The platform's list marks an instance as leaving.
     ListedLeaving,
-    /// No room was left to remember an instance.
+    /// The table has no capacity for another instance.
     TableFull,
 }
 
 impl Change {
-    /// The name in logs and dumps.
+    /// Returns the name in logs and dumps.
     pub fn name(self) -> &'static str {
         match self {
             Change::Joined => "instance joined",
@@ -64,15 +64,15 @@
     }
 }
 
-/// A change of state, with the step at which it arose and its cause.
+/// A change of state with its cause.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
     /// What changed.
     pub change: Change,
-    /// The instance, if it is about one.
+    /// The address of the instance, if the change concerns one.
     pub peer: Option<SocketAddr>,
-    /// The step at which it arose.
+    /// The step of the protocol that caused it.
     pub step: &'static str,
-    /// Why, in a plain sentence.
+    /// The reason, as a sentence for people.
     pub cause: String,
 }
--- a/crates/core/src/process/membership/member.rs
+++ b/crates/core/src/process/membership/member.rs
@@ -1,60 +1,60 @@
-//! One process as the others know it.
+//! A process as known to the others.
 
 use crate::id::{Incarnation, Place};
 use crate::process::{InstanceFact, Liveness};
 use serde::{Deserialize, Serialize};
 
-/// What the others hold of an instance's latest word. At the same counter the higher one wins; the
-/// instance itself takes it back by a higher counter.
+/// State that other processes assign to an instance at its latest counter. At the same counter the
+/// higher standing wins; the instance itself resets it with a higher counter.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub enum Standing {
-    /// Nothing speaks against it.
+    /// Not suspected.
     #[default]
     Trusted,
-    /// It did not answer; it has a while to refute that.
+    /// It did not answer; it has limited time to refute the suspicion.
     Suspected,
-    /// It did not refute the suspicion, or another process listens at its address.
+    /// It did not refute the suspicion in time, or another process listens at its address.
     Gone,
 }
 
-/// One process as the others know it.
+/// A process as known to the others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its latest word on itself.
+    /// Its latest report on itself.
     pub fact: InstanceFact,
-    /// What the others hold of it.
+    /// The state that the others assign to it.
     pub standing: Standing,
 }
 
 impl Member {
-    /// A member of whom only its own word is known.
+    /// Creates a trusted member from its own report.
     pub fn new(fact: InstanceFact) -> Member {
         Member { fact, standing: Standing::Trusted }
     }
 
-    /// Its incarnation, by which members are told apart.
+    /// Returns its incarnation, which identifies a member.
     pub fn incarnation(&self) -> Incarnation {
         self.fact.peer.incarnation
     }
 
-    /// Its place.
+    /// Returns its place.
     pub fn place(&self) -> &Place {
         &self.fact.place
     }
 
-    /// Whether it is a process that runs, as far as is known; it may be leaving.
+    /// Returns whether the process is known to run; it may be leaving.
     pub fn is_present(&self) -> bool {
         self.standing != Standing::Gone && self.fact.liveness != Liveness::Gone
     }
 
-    /// Whether it takes new work, as far as is known.
+    /// Returns whether it is known to take new work.
     pub fn is_live(&self) -> bool {
         self.standing != Standing::Gone && self.fact.liveness == Liveness::Live
     }
 
-    /// What orders two words on one incarnation: the later is higher.
+    /// Returns the order of reports on one incarnation: the later one is higher.
     pub fn rank(&self) -> (u64, Standing) {
         (self.fact.counter, self.standing)
     }
--- a/crates/core/src/process/membership/message.rs
+++ b/crates/core/src/process/membership/message.rs
@@ -1,4 +1,4 @@
-//! What members tell each other. Each message has a bound in bytes.
+//! Messages between members. The size of each message is bounded.
 
 use crate::id::{Incarnation, Place, Revision};
 use crate::process::membership::{Member, Standing};
@@ -7,42 +7,42 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The most bytes of gossip that ride on a probe, encoded.
+/// Maximum encoded size of the gossip piggybacked on a probe, in bytes.
 pub const MAX_GOSSIP_BYTES: usize = 1_100;
-/// The most bytes of gossip in an answer to a digest or a wish, encoded.
+/// Maximum encoded size of the gossip in an answer to a digest or a `Want`, in bytes.
 pub const MAX_SYNC_BYTES: usize = 8_000;
-/// The most bytes that any message adds to its gossip, encoded.
+/// Maximum encoded size of a message without its gossip, in bytes.
 pub const MAX_HEAD_BYTES: usize = 900;
-/// The most incarnations that one message asks for.
+/// Maximum number of incarnations that one message requests.
 pub const MAX_WANTED: usize = 64;
-/// Buckets of a digest.
+/// Number of buckets of a digest.
 pub const DIGEST_BUCKETS: usize = 32;
-/// The most places whose pulses are remembered and passed on.
+/// Maximum number of places whose pulses are remembered and passed on.
 pub const MAX_PLACES: usize = 16;
-/// The longest name of a place that is passed on, in bytes.
+/// Maximum length of the name of a place that is passed on, in bytes.
 pub const MAX_PLACE_BYTES: usize = 32;
 
-/// What often changes of an instance, without the rest.
+/// Holds the frequently changing part of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Brief {
-    /// The instance.
+    /// The incarnation of the instance.
     pub incarnation: Incarnation,
-    /// Its profile, as numbered in its fact; the rest is known to whoever knows this profile.
+    /// Profile number of its fact; the remaining fields are the same for the same profile.
     pub profile: u64,
     /// The counter of its fact.
     pub counter: u64,
     /// Its state.
     pub liveness: Liveness,
-    /// What others hold of that.
+    /// State that the other processes assign to it.
     pub standing: Standing,
-    /// All configuration up to this revision is in force there.
+    /// Configuration up to this revision is in force there.
     pub applied: Revision,
     /// Load of its endpoints, in their order.
     pub loads: Vec<u32>,
 }
 
 impl Brief {
-    /// What often changes of `member`.
+    /// Extracts the frequently changing part of `member`.
     pub fn new(member: &Member) -> Brief {
         let fact = &member.fact;
         Brief {
@@ -56,8 +56,8 @@
         }
     }
 
-    /// `known` with what this tells, if it is of the same profile.
-    pub fn onto(&self, known: &Member) -> Option<Member> {
+    /// Returns `known` with these values, or none if the incarnation or the profile differs.
+    pub fn apply_to(&self, known: &Member) -> Option<Member> {
         if known.fact.profile != self.profile || known.incarnation() != self.incarnation {
             return None;
         }
@@ -73,17 +73,17 @@
     }
 }
 
-/// What is told of a member.
+/// A report on a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Rumor {
-    /// All of it.
+    /// The complete member.
     Whole(Member),
-    /// What often changes.
+    /// The frequently changing part.
     Brief(Brief),
 }
 
 impl Rumor {
-    /// The instance that it is about.
+    /// Returns the incarnation of the member.
     pub fn incarnation(&self) -> Incarnation {
         match self {
             Rumor::Whole(member) => member.incarnation(),
@@ -91,7 +91,7 @@
         }
     }
 
-    /// What orders two rumors on one incarnation: the later is higher.
+    /// Returns the order of rumors on one incarnation: the later one is higher.
     pub fn rank(&self) -> (u64, Standing) {
         match self {
             Rumor::Whole(member) => member.rank(),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The most bytes that it takes, encoded.
+    /// Returns an upper bound of its encoded size in bytes.
     pub fn size(&self) -> usize {
         match self {
             Rumor::Whole(member) => 1 + 1 + fact_size(&member.fact),
@@ -108,74 +108,74 @@
     }
 }
 
-/// Rumors and pulses that ride on a message.
+/// Rumors and pulses piggybacked on a message.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gossip {
-    /// What is told of members.
+    /// Reports on members.
     pub rumors: Vec<Rumor>,
-    /// The highest pulse seen of each place.
+    /// The highest pulse seen for each place.
     pub pulses: Vec<(Place, u64)>,
 }
 
 /// Hashes of the present members, by bucket.
 pub type Digest = Vec<u32>;
 
-/// Messages of membership. They are meant for whoever listens at the address.
+/// Messages of membership, addressed to any process that listens at the address.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FleetMessage {
-    /// Asks for an [`Ack`](FleetMessage::Ack).
+    /// Requests an [`Ack`](FleetMessage::Ack).
     Ping {
-        /// Drawn by the sender, to tell answers apart.
+        /// Assigned by the sender, to match the answer.
         number: u64,
-        /// What rides along.
+        /// Piggybacked gossip.
         gossip: Gossip,
     },
-    /// Answers a ping, or passes the answer to one made for another.
+    /// Answers a ping, or relays the answer to a ping that was sent on behalf of the receiver.
     Ack {
         /// The number of the ping.
         number: u64,
-        /// Who answered.
+        /// The process that answered.
         of: Peer,
-        /// What rides along.
+        /// Piggybacked gossip.
         gossip: Gossip,
     },
-    /// Asks the receiver to ping a third process and to pass its answer on.
+    /// Requests that the receiver pings a third process and relays its answer.
     PingFor {
-        /// Drawn by the sender, to tell answers apart.
+        /// Assigned by the sender, to match the answer.
         number: u64,
-        /// Whom to ping.
+        /// The address to ping.
         target: SocketAddr,
-        /// What rides along.
+        /// Piggybacked gossip.
         gossip: Gossip,
     },
-    /// Asks for what differs.
+    /// Requests the members that differ.
     Digest {
-        /// Of the sender's members.
+        /// Digest of the sender's members.
         digest: Digest,
-        /// What rides along.
+        /// Piggybacked gossip.
         gossip: Gossip,
     },
-    /// Answers a digest that differs, with what the sender knows in the buckets that do.
+    /// Answers a digest with the sender's members in the buckets that differ.
     Differences {
-        /// Of the sender's members.
+        /// Digest of the sender's members.
         digest: Digest,
-        /// Rumors of the buckets that differ.
+        /// Rumors on members in the buckets that differ.
         gossip: Gossip,
     },
-    /// Asks for all that is known of some instances.
+    /// Requests the complete members of some incarnations.
     Want {
-        /// The instances.
+        /// The requested incarnations.
         incarnations: Vec<Incarnation>,
     },
-    /// Tells rumors and asks nothing.
+    /// Carries gossip and requests nothing.
     News {
-        /// The rumors.
+        /// The gossip.
         gossip: Gossip,
     },
 }
 
 impl Gossip {
-    /// The most bytes that it takes, encoded.
+    /// Returns an upper bound of its encoded size in bytes.
     pub fn size(&self) -> usize {
         let rumors: usize = self.rumors.iter().map(Rumor::size).sum();
         let pulse_size = |(place, number): &(Place, u64)| text_size(place) + number_size(*number);
@@ -185,7 +185,7 @@
 }
 
 impl FleetMessage {
-    /// The most bytes that it takes, encoded.
+    /// Returns an upper bound of its encoded size in bytes.
     pub fn size(&self) -> usize {
         1 + match self {
             FleetMessage::Ping { number, gossip } => number_size(*number) + gossip.size(),
@@ -210,12 +210,12 @@
     }
 }
 
-/// The most bytes that a number takes, encoded.
+/// Returns the encoded size of a number in bytes: a varint of seven bits per byte.
 fn number_size(number: u64) -> usize {
     (64 - number.leading_zeros() as usize).div_ceil(7).max(1)
 }
 
-/// The most bytes that a text takes, encoded.
+/// Returns the encoded size of a text in bytes.
 fn text_size(text: &str) -> usize {
     number_size(text.len() as u64) + text.len()
 }
@@ -231,7 +231,7 @@
         + loads
 }
 
-/// Most of an address: its kind, its bytes, its port.
+/// Maximum encoded size of an address in bytes: kind, IP address, port.
 const ADDR_SIZE: usize = 1 + 16 + 3;
 
 fn offer_size(offer: Option<&EngineOffer>) -> usize {
--- a/crates/core/src/process/membership/messages.rs
+++ b/crates/core/src/process/membership/message_handlers.rs
@@ -1,4 +1,4 @@
-//! How the state machine of membership takes messages.
+//! Handlers of the messages of membership.
 
 use super::{
     Brief, Change, Digest, FleetMessage, Gossip, MAX_SYNC_BYTES, MAX_WANTED, Member, Membership,
@@ -14,13 +14,13 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The most bytes of rumors in an answer to a digest, encoded.
+/// Maximum encoded size of the rumors in an answer to a digest, in bytes.
 const MAX_DIFFERENCES_BYTES: usize = 2_000;
 
 impl<C: Clock> Membership<C> {
-    /// Takes a message.
+    /// Handles a message.
     pub fn on_message(&mut self, from: Peer, message: FleetMessage) {
-        self.hear(from);
+        self.record_contact(from);
         match message {
             FleetMessage::Ping { number, gossip } => {
                 self.take(from, &gossip);
@@ -33,7 +33,7 @@
             }
             FleetMessage::PingFor { number, target, gossip } => {
                 self.take(from, &gossip);
-                let number = self.probes.relay(from, number);
+                let number = self.probes.add_relayed(from, number);
                 let known = self.table.present_at(target).next();
                 let incarnation = known.map_or(0, |member| member.incarnation());
                 let gossip = self.gossip_for(incarnation);
@@ -51,30 +51,30 @@
         }
     }
 
-    /// A message came straight from a process: its place is there, and it is to be known.
-    fn hear(&mut self, from: Peer) {
+    /// Records that the place of a sender is reachable; requests the sender's fact if it is unknown.
+    fn record_contact(&mut self, from: Peer) {
         let now = self.clock.now();
         match self.table.get(from.incarnation) {
             Some(member) => {
                 let place = member.fact.place.clone();
-                self.pulses.hear(&place, now);
+                self.pulses.record_contact(&place, now);
             }
-            None => self.ask_for(from, vec![from.incarnation]),
+            None => self.request_members(from, vec![from.incarnation]),
         }
     }
 
-    fn ask_for(&mut self, whom: Peer, mut incarnations: Vec<Incarnation>) {
+    fn request_members(&mut self, whom: Peer, mut incarnations: Vec<Incarnation>) {
         incarnations.truncate(MAX_WANTED);
         self.send(whom.addr, FleetMessage::Want { incarnations });
     }
 
     fn on_ack(&mut self, number: u64, of: Peer) {
-        if let Some(relayed) = self.probes.relayed(number) {
+        if let Some(relayed) = self.probes.take_relayed(number) {
             let gossip = self.gossip_for(relayed.asker.incarnation);
             let answer = FleetMessage::Ack { number: relayed.number, of, gossip };
             return self.send(relayed.asker.addr, answer);
         }
-        let Some(probe) = self.probes.answered(number) else { return };
+        let Some(probe) = self.probes.finish(number) else { return };
         let target = probe.target;
         if of.addr == target.addr && of.incarnation != target.incarnation {
             self.supersede(target.incarnation, "another incarnation answered at its address");
@@ -91,14 +91,14 @@
         self.send(from.addr, FleetMessage::Differences { digest, gossip });
     }
 
-    /// Takes what differs, and tells what the other did not know.
+    /// Merges the members that differ and sends those that the sender does not know or knows an older state of.
     fn on_differences(&mut self, from: Peer, theirs: &Digest, gossip: &Gossip) {
-        let told: BTreeMap<_, _> =
+        let known_ranks: BTreeMap<_, _> =
             gossip.rumors.iter().map(|rumor| (rumor.incarnation(), rumor.rank())).collect();
-        let news = |member: &&Arc<Member>| {
-            told.get(&member.incarnation()).is_none_or(|rank| *rank < member.rank())
+        let is_newer = |member: &&Arc<Member>| {
+            known_ranks.get(&member.incarnation()).is_none_or(|rank| *rank < member.rank())
         };
-        let differing = self.table.differing(theirs).into_iter().filter(news);
+        let differing = self.table.differing(theirs).into_iter().filter(is_newer);
         let briefs: Vec<Rumor> = differing.map(|member| Rumor::Brief(Brief::new(member))).collect();
         self.take(from, gossip);
         if briefs.is_empty() {
@@ -109,20 +109,20 @@
         self.send(from.addr, FleetMessage::News { gossip });
     }
 
-    /// Adds rumors up to a bound, from a random one on, so that none is always left out.
-    fn fill(&mut self, gossip: &mut Gossip, mut rumors: Vec<Rumor>, most: usize) {
+    /// Adds rumors up to `max_bytes`. Starts at a random one, so that none is always left out.
+    fn fill(&mut self, gossip: &mut Gossip, mut rumors: Vec<Rumor>, max_bytes: usize) {
         if rumors.is_empty() {
             return;
         }
         let start = self.rng.random_range(0..rumors.len());
         rumors.rotate_left(start);
-        let mut room = most;
+        let mut bytes_left = max_bytes;
         for rumor in rumors {
-            let Some(left) = room.checked_sub(rumor.size()) else {
+            let Some(left) = bytes_left.checked_sub(rumor.size()) else {
                 self.sync_soon = true;
                 return;
             };
-            room = left;
+            bytes_left = left;
             gossip.rumors.push(rumor);
         }
     }
@@ -136,7 +136,7 @@
         self.send(from.addr, FleetMessage::News { gossip });
     }
 
-    /// Takes what rode on a message, and asks for what was told in brief and isn't known.
+    /// Merges gossip; requests members that were reported as a `Brief` of an unknown incarnation or profile.
     fn take(&mut self, from: Peer, gossip: &Gossip) {
         let now = self.clock.now();
         self.pulses.merge(&gossip.pulses, now);
@@ -146,12 +146,12 @@
                 self.on_rumor_of_self(from, rumor);
                 continue;
             }
-            if self.is_from_lost_place(rumor, now) {
+            if self.is_from_expired_place(rumor, now) {
                 continue;
             }
             match self.table.merge(rumor, now) {
-                Merged::Nothing => {}
-                Merged::Wanted => wanted.push(rumor.incarnation()),
+                Merged::Unchanged => {}
+                Merged::NeedsWhole => wanted.push(rumor.incarnation()),
                 Merged::Full => {
                     let cause = format!("{} members are known", self.table.members().len());
                     self.note(Change::TableFull, Some(from.addr), "gossip", cause);
@@ -160,30 +160,32 @@
             }
         }
         if !wanted.is_empty() {
-            self.ask_for(from, wanted);
+            self.request_members(from, wanted);
         }
     }
 
-    /// Whether it brings a stranger of a place that was given up: others forget it at another time.
-    fn is_from_lost_place(&self, rumor: &Rumor, now: Instant) -> bool {
+    /// Returns whether a rumor adds an unknown member of an expired place. Others forget that place at
+    /// other times and still report its members.
+    fn is_from_expired_place(&self, rumor: &Rumor, now: Instant) -> bool {
         match rumor {
             Rumor::Whole(member) if self.table.get(member.incarnation()).is_none() => {
-                self.is_lost(member.place(), now)
+                self.is_place_expired(member.place(), now)
             }
             _ => false,
         }
     }
 
-    /// Takes back what others hold of this process.
+    /// Refutes a suspicion of this process with a higher counter.
     fn on_rumor_of_self(&mut self, from: Peer, rumor: &Rumor) {
         let (counter, standing) = rumor.rank();
-        let mine = self.fact().counter;
-        if counter < mine || (counter == mine && standing == Standing::Trusted) {
+        let own_counter = self.fact().counter;
+        if counter < own_counter || (counter == own_counter && standing == Standing::Trusted) {
             return;
         }
         let fact = InstanceFact { counter: counter + 1, ..self.fact().clone() };
         self.put_self(fact, false);
-        let cause = format!("{} held {standing:?} at counter {counter}", from.addr);
+        let cause =
+            format!("{} reported this process as {standing:?} at counter {counter}", from.addr);
         self.note(Change::RefutedSelf, Some(from.addr), "gossip", cause);
     }
 
@@ -200,7 +202,7 @@
         self.note_change(from, before.as_deref(), after);
         let was_present = before.is_some_and(|old| old.is_present());
         if after.is_present() && !was_present {
-            self.settle_address(after.fact.peer.addr);
+            self.resolve_address(after.fact.peer.addr);
         }
     }
 
@@ -216,14 +218,14 @@
         };
         let fact = &after.fact;
         let cause = format!(
-            "told by {}: {:?} of {}, {:?} and {:?} at counter {}",
+            "reported by {}: {:?} of {}, {:?} and {:?} at counter {}",
             from.addr, fact.role, fact.place, fact.liveness, after.standing, fact.counter
         );
         self.note(change, Some(fact.peer.addr), "gossip", cause);
     }
 
-    /// Of several incarnations at one address, the one of the highest generation is there now.
-    fn settle_address(&mut self, addr: SocketAddr) {
+    /// Supersedes all incarnations at an address but the one of the highest generation, which listens there now.
+    fn resolve_address(&mut self, addr: SocketAddr) {
         let order = |member: &&Arc<Member>| (member.fact.generation, member.incarnation());
         let mut rivals: Vec<_> = self.table.present_at(addr).collect();
         rivals.sort_by_key(order);
@@ -231,15 +233,16 @@
         let generation = highest.fact.generation;
         let rivals: Vec<Incarnation> = rivals.iter().map(|member| member.incarnation()).collect();
         if addr == self.me.addr {
-            return self.outdo(generation);
+            return self.supersede_at_own_address(generation);
         }
         for rival in rivals {
             self.supersede(rival, "a later start of the process listens there");
         }
     }
 
-    /// Only this process can listen at its address: no other incarnation there is still present.
-    fn outdo(&mut self, generation: u64) {
+    /// Supersedes all other incarnations at the own address, with a higher generation than theirs: only this
+    /// process can listen there.
+    fn supersede_at_own_address(&mut self, generation: u64) {
         let me = self.me.incarnation;
         let others = self.table.present_at(self.me.addr).map(|member| member.incarnation());
         let others: Vec<Incarnation> = others.filter(|other| *other != me).collect();
@@ -259,7 +262,7 @@
             return;
         }
         let addr = member.fact.peer.addr;
-        self.judge(incarnation, Standing::Gone);
+        self.set_standing(incarnation, Standing::Gone);
         self.note(Change::Superseded, Some(addr), "address", cause.to_owned());
     }
 }
--- a/crates/core/src/process/membership/mod.rs
+++ b/crates/core/src/process/membership/mod.rs
@@ -1,13 +1,14 @@
-//! Membership: which processes there are, where, and whether they take work.
+//! Membership: which processes exist, in which place, and whether they take work.
 //!
-//! Inside a place each member probes the others at random; what they learn rides on the probes.
-//! Between places a few relays exchange digests. Nobody talks to all, and every message is bounded.
+//! Inside a place each member probes the others in random order; updates are piggybacked on the probes.
+//! Between places a few relays exchange digests. No member sends to all others, and the size of every
+//! message is bounded.
 
 mod config;
 mod event;
 mod member;
 mod message;
-mod messages;
+mod message_handlers;
 mod place_pulses;
 mod probes;
 mod rendezvous;
--- a/crates/core/src/process/membership/place_pulses.rs
+++ b/crates/core/src/process/membership/place_pulses.rs
@@ -1,4 +1,4 @@
-//! Signs of life of whole places.
+//! Heartbeats of whole places.
 
 use crate::id::Place;
 use crate::process::membership::{MAX_PLACE_BYTES, MAX_PLACES};
@@ -8,55 +8,58 @@
 #[derive(Clone, Copy, Debug)]
 struct Pulse {
     number: u64,
-    /// When it last grew here, or when it was first told of.
-    grew: Instant,
-    /// Whether it ever grew here; one that never did may be of a place that is no more.
-    alive: bool,
+    /// When it last rose or a message came from the place, or when it was first reported.
+    updated_at: Instant,
+    /// Whether it was updated since the first report. Otherwise the place may no longer exist.
+    was_updated: bool,
 }
 
-/// What a sweep of the pulses found.
+/// Changes found by a sweep of the pulses.
 #[derive(Debug)]
-pub(super) struct Swept {
-    /// Places that were heard before and fell silent.
+pub(super) struct SweepResult {
+    /// Places that were reachable before and are silent now.
     pub lost: Vec<Place>,
-    /// Places that were silent and are heard.
+    /// Places that were silent and are reachable again.
     pub back: Vec<Place>,
     /// Whether the set of silent places changed.
     pub changed: bool,
 }
 
-/// Signs of life of whole places: a number a place, raised by the place's relays, that only grows.
+/// Holds a heartbeat counter per place. The relays of the place raise it; it never decreases.
 #[derive(Debug)]
 pub(super) struct PlacePulses {
-    mine: Place,
+    own_place: Place,
     pulses: BTreeMap<Place, Pulse>,
     cut_off: BTreeSet<Place>,
     cut_off_after: Duration,
 }
 
 impl PlacePulses {
-    /// Knows of no place but `mine`.
-    pub fn new(mine: Place, cut_off_after: Duration) -> PlacePulses {
-        PlacePulses { mine, pulses: BTreeMap::new(), cut_off: BTreeSet::new(), cut_off_after }
+    /// Creates the counters without any place.
+    pub fn new(own_place: Place, cut_off_after: Duration) -> PlacePulses {
+        PlacePulses { own_place, pulses: BTreeMap::new(), cut_off: BTreeSet::new(), cut_off_after }
     }
 
-    /// Raises the number of the own place.
-    pub fn beat(&mut self, now: Instant) {
-        let number = self.pulses.get(&self.mine).map_or(0, |pulse| pulse.number);
-        self.pulses.insert(self.mine.clone(), Pulse { number: number + 1, grew: now, alive: true });
+    /// Raises the counter of the own place.
+    pub fn raise_own(&mut self, now: Instant) {
+        let number = self.pulses.get(&self.own_place).map_or(0, |pulse| pulse.number);
+        self.pulses.insert(
+            self.own_place.clone(),
+            Pulse { number: number + 1, updated_at: now, was_updated: true },
+        );
     }
 
-    /// Takes the numbers that a message carried.
+    /// Merges the counters that a message carried.
     pub fn merge(&mut self, seen: &[(Place, u64)], now: Instant) {
         for (place, number) in seen {
-            let room = self.pulses.len() < MAX_PLACES && place.len() <= MAX_PLACE_BYTES;
+            let fits = self.pulses.len() < MAX_PLACES && place.len() <= MAX_PLACE_BYTES;
             match self.pulses.get_mut(place) {
                 Some(pulse) if *number > pulse.number => {
-                    *pulse = Pulse { number: *number, grew: now, alive: true }
+                    *pulse = Pulse { number: *number, updated_at: now, was_updated: true }
                 }
                 Some(_) => {}
-                None if room => {
-                    let pulse = Pulse { number: *number, grew: now, alive: false };
+                None if fits => {
+                    let pulse = Pulse { number: *number, updated_at: now, was_updated: false };
                     self.pulses.insert(place.clone(), pulse);
                 }
                 None => {}
@@ -64,47 +67,47 @@
         }
     }
 
-    /// A message came straight from a member of `place`.
-    pub fn hear(&mut self, place: &Place, now: Instant) {
+    /// Records a message received directly from a member of `place`.
+    pub fn record_contact(&mut self, place: &Place, now: Instant) {
         if !self.pulses.contains_key(place) {
             self.merge(&[(place.clone(), 0)], now);
         }
         if let Some(pulse) = self.pulses.get_mut(place) {
-            (pulse.grew, pulse.alive) = (now, true);
+            (pulse.updated_at, pulse.was_updated) = (now, true);
         }
     }
 
-    /// Takes `gap` out of all waits: this process itself stood still for so long.
-    pub fn shift(&mut self, gap: Duration) {
-        self.pulses.values_mut().for_each(|pulse| pulse.grew += gap);
+    /// Shifts all times by `gap`, during which this process itself was paused.
+    pub fn extend_deadlines(&mut self, gap: Duration) {
+        self.pulses.values_mut().for_each(|pulse| pulse.updated_at += gap);
     }
 
-    /// Notices what fell silent and what was heard again since the last call.
-    pub fn sweep(&mut self, now: Instant) -> Swept {
+    /// Updates the set of silent places and returns what changed since the last call.
+    pub fn sweep(&mut self, now: Instant) -> SweepResult {
         let is_silent =
-            |pulse: &Pulse| now.saturating_duration_since(pulse.grew) > self.cut_off_after;
-        let others = self.pulses.iter().filter(|(place, _)| **place != self.mine);
+            |pulse: &Pulse| now.saturating_duration_since(pulse.updated_at) > self.cut_off_after;
+        let others = self.pulses.iter().filter(|(place, _)| **place != self.own_place);
         let silent: BTreeSet<Place> =
             others.filter(|(_, pulse)| is_silent(pulse)).map(|(place, _)| place.clone()).collect();
-        let was_heard = |place: &&Place| self.pulses[*place].alive;
-        let lost = silent.difference(&self.cut_off).filter(was_heard).cloned().collect();
+        let was_reachable = |place: &&Place| self.pulses[*place].was_updated;
+        let lost = silent.difference(&self.cut_off).filter(was_reachable).cloned().collect();
         let back = self.cut_off.difference(&silent).cloned().collect();
         let changed = self.cut_off != silent;
         self.cut_off = silent;
-        Swept { lost, back, changed }
+        SweepResult { lost, back, changed }
     }
 
-    /// The silent places.
+    /// Returns the silent places.
     pub fn cut_off(&self) -> &BTreeSet<Place> {
         &self.cut_off
     }
 
-    /// How long nothing has come from a place.
+    /// Returns the time since a place was last updated.
     pub fn silent_for(&self, place: &str, now: Instant) -> Option<Duration> {
-        self.pulses.get(place).map(|pulse| now.saturating_duration_since(pulse.grew))
+        self.pulses.get(place).map(|pulse| now.saturating_duration_since(pulse.updated_at))
     }
 
-    /// All numbers, to pass on.
+    /// Returns all counters, for gossip.
     pub fn numbers(&self) -> Vec<(Place, u64)> {
         self.pulses.iter().map(|(place, pulse)| (place.clone(), pulse.number)).collect()
     }
--- a/crates/core/src/process/membership/rendezvous.rs
+++ b/crates/core/src/process/membership/rendezvous.rs
@@ -1,16 +1,16 @@
-//! Rendezvous hashing: all who know the same members name the same ones for a key, and a change of
-//! the members moves only the keys of those that came or went.
+//! Rendezvous hashing: all processes that know the same members select the same ones for a key, and a
+//! change of the members moves only the keys of those that joined or left.
 
 use crate::id::Incarnation;
 use std::cmp::Reverse;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The weight of a candidate for a key; the highest is the one named.
+/// Returns the weight of a candidate for a key; the candidate with the highest weight is selected.
 pub fn rendezvous_weight(key: &[u8], candidate: Incarnation) -> u64 {
     xxh3_64_with_seed(key, candidate)
 }
 
-/// The candidate that is named for a key.
+/// Returns the candidate selected for a key.
 pub fn rendezvous(
     key: &[u8],
     candidates: impl IntoIterator<Item = Incarnation>,
@@ -19,7 +19,7 @@
     candidates.into_iter().max_by_key(weight)
 }
 
-/// The first `count` candidates for a key, the one named first.
+/// Returns the `count` candidates of the highest weight for a key, in descending order.
 pub fn rendezvous_several(
     key: &[u8],
     candidates: impl IntoIterator<Item = Incarnation>,
--- a/crates/core/src/process/membership/state.rs
+++ b/crates/core/src/process/membership/state.rs
@@ -1,4 +1,4 @@
-//! The state machine of membership: driven by ticks and messages, it returns what to send.
+//! The state machine of membership: driven by ticks and messages, it returns the messages to send.
 
 use super::{
     Change, Event, FleetMessage, Gossip, Member, MembershipConfig, MembershipView, PlacePulses,
@@ -16,34 +16,34 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Relays of a place.
+/// Number of relays of a place.
 pub const RELAYS: usize = 2;
-/// What relays are drawn by.
+/// Key by which rendezvous hashing selects relays.
 pub(super) const RELAY_KEY: &[u8] = b"relay";
-/// The most addresses to knock at that are remembered.
+/// Maximum number of remembered addresses of listed instances to ping.
 const MAX_SEEDS: usize = 4096;
-/// Members that are told at once that this process leaves.
-const TOLD_AT_ONCE: usize = 8;
+/// Number of members of the own place that are notified at once when this process leaves or ends.
+const ANNOUNCE_COUNT: usize = 8;
 
 /// An instance on the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listed {
     /// Where it listens.
     pub addr: SocketAddr,
-    /// Whether the list says that it is leaving.
+    /// Whether the list marks it as leaving.
     pub leaving: bool,
 }
 
-/// What came of ticks and messages: to be sent, and to be noted.
+/// Messages to send and events to log, as the result of ticks and messages.
 #[derive(Debug, Default)]
 pub struct Output {
-    /// Messages to send, in order. An incarnation of 0 means whoever listens there.
+    /// Messages to send, in order. An incarnation of 0 addresses any process that listens there.
     pub sends: Vec<(Peer, FleetMessage)>,
     /// Changes of state.
     pub events: Vec<Event>,
 }
 
-/// The state machine of membership of one process.
+/// State machine of membership of one process.
 #[derive(Debug)]
 pub struct Membership<C> {
     pub(super) clock: C,
@@ -61,16 +61,16 @@
     pub(super) seeds: VecDeque<SocketAddr>,
     listed_leaving: BTreeSet<Incarnation>,
     pub(super) next_place: usize,
-    /// How many hear what this process tells, mostly; counted once a tick.
+    /// Number of members that the rumors of this process reach, approximately; counted once per tick.
     pub(super) listeners: usize,
     pub(super) ticks: u64,
     pub(super) last_tick: Instant,
-    /// Changes of what is known beside the table.
+    /// Number of changes of the state outside the table.
     pub(super) changes: u64,
 }
 
 impl<C: Clock> Membership<C> {
-    /// A process that knows but itself. `seed` draws whom it talks to.
+    /// Creates the state of a process that knows only itself. `seed` seeds the random choice of peers.
     pub fn new(cfg: MembershipConfig, clock: C, fact: InstanceFact, seed: u64) -> Membership<C> {
         let now = clock.now();
         let (me, place) = (fact.peer, fact.place.clone());
@@ -101,39 +101,40 @@
         }
     }
 
-    /// What this process tells of itself.
+    /// Returns the report of this process on itself.
     pub fn fact(&self) -> &InstanceFact {
         &self.table.get(self.me.incarnation).expect("a process knows itself").fact
     }
 
-    /// One member, as it is known now.
+    /// Returns one member.
     pub fn get(&self, incarnation: Incarnation) -> Option<&Member> {
         self.table.get(incarnation).map(Arc::as_ref)
     }
 
-    /// All members, as they are known now.
+    /// Returns all members.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.table.members().values().map(Arc::as_ref)
     }
 
-    /// Grows with each change of what is known.
+    /// Returns a version number that grows with each change.
     pub fn version(&self) -> u64 {
         self.table.version() + self.changes
     }
 
-    /// What is known now.
+    /// Returns a snapshot of the current state.
     pub fn view(&self) -> MembershipView {
         let (members, cut_off) = (self.table.members().clone(), self.pulses.cut_off().clone());
         MembershipView::new(self.me, self.place.clone(), members, cut_off)
             .with_listed_leaving(self.listed_leaving.clone())
     }
 
-    /// Takes what is to be sent and noted since the last call.
+    /// Returns the messages and events since the last call.
     pub fn take_output(&mut self) -> Output {
         std::mem::take(&mut self.output)
     }
 
-    /// Changes what this process tells of itself. Its peer, place, role and counters stay.
+    /// Changes the report of this process on itself. Peer, place and role stay; counter and
+    /// profile are computed here.
     pub fn change_self(&mut self, change: impl FnOnce(&mut InstanceFact)) {
         let old = self.fact().clone();
         let mut fact = old.clone();
@@ -152,21 +153,21 @@
         self.put_self(fact, !same_profile);
     }
 
-    /// Takes no new work from now on, and tells some at once.
+    /// Marks this process as leaving, so that it takes no new work, and notifies some members at once.
     pub fn leave(&mut self) {
         if self.fact().liveness == Liveness::Live {
             self.change_self(|fact| fact.liveness = Liveness::Leaving);
-            self.tell_at_once();
+            self.announce();
         }
     }
 
-    /// Ends, and tells some at once, so that nobody has to find out.
+    /// Marks this process as gone and notifies some members at once, so that no failure detection is needed.
     pub fn end(&mut self) {
         self.change_self(|fact| fact.liveness = Liveness::Gone);
-        self.tell_at_once();
+        self.announce();
     }
 
-    /// The platform's list was read: a hint of whom to knock at, and of who is to leave.
+    /// Handles a read of the platform's list: a hint which addresses to ping and which members are to leave.
     pub fn on_list(&mut self, listed: &[Listed]) {
         let unknown = |entry: &&Listed| {
             entry.addr != self.me.addr && self.table.present_at(entry.addr).next().is_none()
@@ -181,7 +182,12 @@
             self.table.members().values().filter(is_listed).map(|m| m.incarnation()).collect();
         for incarnation in found.difference(&self.listed_leaving.clone()) {
             let addr = self.table.get(*incarnation).map(|member| member.fact.peer.addr);
-            self.note(Change::ListedLeaving, addr, "platform list", "the list says so".into());
+            self.note(
+                Change::ListedLeaving,
+                addr,
+                "platform list",
+                "the list marks it as leaving".into(),
+            );
         }
         if self.listed_leaving != found {
             self.listed_leaving = found;
@@ -189,7 +195,7 @@
         }
     }
 
-    /// A link closed, or could not be opened: a hint to probe its peer now.
+    /// Handles a link that closed or could not be opened: a hint to probe its peer now.
     pub fn on_closed(&mut self, addr: SocketAddr) {
         let Some(peer) = self.table.present_at(addr).next().map(|member| member.fact.peer) else {
             return;
@@ -199,11 +205,11 @@
                 self.probe(peer);
             }
         } else {
-            self.knock(peer);
+            self.ping_once(peer);
         }
     }
 
-    /// Random present members of the own place, this process excluded.
+    /// Returns random present members of the own place, without this process and `but`.
     pub(super) fn some_in_place(&mut self, count: usize, but: Incarnation) -> Vec<Peer> {
         let me = self.me.incarnation;
         let others = self.table.members().values().filter(|member| {
@@ -232,15 +238,15 @@
         self.output.events.push(Event { change, peer, step, cause });
     }
 
-    /// Takes a new word of this process on itself.
+    /// Stores and queues a new report of this process on itself.
     pub(super) fn put_self(&mut self, fact: InstanceFact, whole: bool) {
         let now = self.clock.now();
         self.table.put(Member::new(fact), now);
         self.queue.push(self.me.incarnation, whole);
     }
 
-    /// Changes what is held of a member's latest word.
-    pub(super) fn judge(&mut self, incarnation: Incarnation, standing: Standing) {
+    /// Changes the standing of a member at its latest counter.
+    pub(super) fn set_standing(&mut self, incarnation: Incarnation, standing: Standing) {
         let Some(known) = self.table.get(incarnation) else { return };
         let member = Member { fact: known.fact.clone(), standing };
         let now = self.clock.now();
@@ -248,7 +254,7 @@
         self.queue.push(incarnation, false);
     }
 
-    /// Starts a probe.
+    /// Starts a probe: sends a ping and waits for the answer.
     pub(super) fn probe(&mut self, target: Peer) {
         let deadline = self.clock.now() + self.cfg.direct_timeout;
         let number = self.probes.start(target, deadline);
@@ -256,55 +262,55 @@
         self.send(target.addr, FleetMessage::Ping { number, gossip });
     }
 
-    /// Pings a process without waiting for the answer; incarnation 0: whoever is there.
-    pub(super) fn knock(&mut self, peer: Peer) {
-        let number = self.probes.draw();
+    /// Pings a process without waiting for the answer. Incarnation 0 addresses any process there.
+    pub(super) fn ping_once(&mut self, peer: Peer) {
+        let number = self.probes.new_number();
         let gossip = self.gossip_for(peer.incarnation);
         self.send(peer.addr, FleetMessage::Ping { number, gossip });
     }
 
-    fn tell_at_once(&mut self) {
-        let mut told = self.some_in_place(TOLD_AT_ONCE, 0);
+    fn announce(&mut self) {
+        let mut announced_to = self.some_in_place(ANNOUNCE_COUNT, 0);
         for place in self.other_places() {
-            told.extend(self.relays_of(&place));
+            announced_to.extend(self.relays_of(&place));
         }
-        for peer in told {
+        for peer in announced_to {
             let gossip = self.gossip_for(peer.incarnation);
             self.send(peer.addr, FleetMessage::News { gossip });
         }
     }
 
-    /// How many hear what this process tells, mostly: its own place.
+    /// Counts the members that the rumors of this process reach, approximately: the present ones of its own place.
     pub(super) fn count_listeners(&self) -> usize {
         let present = self.table.members().values().filter(|member| member.is_present());
         present.filter(|member| member.fact.place == self.place).count()
     }
 
-    /// What may ride on a probe to a member.
+    /// Returns the gossip to piggyback on a probe to a member.
     pub(super) fn gossip_for(&mut self, to: Incarnation) -> Gossip {
         self.gossip_up_to(to, super::MAX_GOSSIP_BYTES)
     }
 
-    fn gossip_up_to(&mut self, to: Incarnation, most: usize) -> Gossip {
+    fn gossip_up_to(&mut self, to: Incarnation, max_bytes: usize) -> Gossip {
         let pulses = self.pulses.numbers();
         let mut rumors = Vec::new();
-        let mut room = most;
-        let doubted = self.table.get(to).filter(|member| member.standing != Standing::Trusted);
-        if let Some(member) = doubted {
+        let mut bytes_left = max_bytes;
+        let distrusted = self.table.get(to).filter(|member| member.standing != Standing::Trusted);
+        if let Some(member) = distrusted {
             let rumor = Rumor::Brief(super::Brief::new(member));
-            room = room.saturating_sub(rumor.size());
+            bytes_left = bytes_left.saturating_sub(rumor.size());
             rumors.push(rumor);
         }
         let (table, listeners) = (&self.table, self.listeners);
-        self.queue.tell(listeners, |incarnation, whole| {
+        self.queue.take_next(listeners, |incarnation, whole| {
             let Some(member) = table.get(incarnation) else { return true };
             let mut rumor = Rumor::Brief(super::Brief::new(member));
             if whole {
                 let all = Rumor::Whole(Member::clone(member));
-                rumor = if all.size() > most { rumor } else { all };
+                rumor = if all.size() > max_bytes { rumor } else { all };
             }
-            let Some(left) = room.checked_sub(rumor.size()) else { return false };
-            room = left;
+            let Some(left) = bytes_left.checked_sub(rumor.size()) else { return false };
+            bytes_left = left;
             rumors.push(rumor);
             true
         });
@@ -312,7 +318,7 @@
     }
 }
 
-/// Whether the endpoints are the same but for their load.
+/// Returns whether the endpoints are equal except for their load.
 fn same_endpoints(one: &InstanceFact, other: &InstanceFact) -> bool {
     let mut pairs = one.endpoints.iter().zip(&other.endpoints);
     one.endpoints.len() == other.endpoints.len() && pairs.all(|(a, b)| a.is_same_but_for_load(b))
--- a/crates/core/src/process/membership/table.rs
+++ b/crates/core/src/process/membership/table.rs
@@ -1,4 +1,4 @@
-//! The members that are known, merged by rank.
+//! Table of the known members, merged by rank.
 
 use crate::id::Incarnation;
 use crate::process::membership::{DIGEST_BUCKETS, Digest, Member, Rumor, Standing};
@@ -8,20 +8,20 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What a rumor did.
+/// Result of merging a rumor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Merged {
-    /// Nothing: as much was known.
-    Nothing,
-    /// Nothing yet: the rest must be asked for.
-    Wanted,
-    /// There was no room for it.
+    /// The rumor is not newer than the known state, or it reports an unknown member as gone.
+    Unchanged,
+    /// The rumor is a `Brief` of an unknown incarnation or profile: the complete member must be requested.
+    NeedsWhole,
+    /// The table has no capacity for the member.
     Full,
-    /// It changed what is known; `before` is nothing for a new member.
+    /// The member changed; `before` is none for a new member.
     Changed { before: Option<Arc<Member>>, after: Arc<Member> },
 }
 
-/// The members that are known, this process included.
+/// Holds the known members, including this process.
 #[derive(Debug)]
 pub(super) struct Table {
     members: BTreeMap<Incarnation, Arc<Member>>,
@@ -32,7 +32,7 @@
 }
 
 impl Table {
-    /// Nobody yet, and at most `max`.
+    /// Creates an empty table for at most `max` members.
     pub fn new(max: usize) -> Table {
         Table {
             members: BTreeMap::new(),
@@ -43,27 +43,27 @@
         }
     }
 
-    /// All members.
+    /// Returns all members.
     pub fn members(&self) -> &BTreeMap<Incarnation, Arc<Member>> {
         &self.members
     }
 
-    /// One member.
+    /// Returns one member.
     pub fn get(&self, incarnation: Incarnation) -> Option<&Arc<Member>> {
         self.members.get(&incarnation)
     }
 
-    /// Grows with each change.
+    /// Returns a version number that grows with each change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Hashes of the present members, by bucket.
+    /// Returns the hashes of the present members, by bucket.
     pub fn digest(&self) -> &Digest {
         &self.digest
     }
 
-    /// The present members in the buckets in which `other` differs.
+    /// Returns the members in the buckets in which `other` differs.
     pub fn differing(&self, other: &Digest) -> Vec<&Arc<Member>> {
         let differs = |member: &&Arc<Member>| {
             let bucket = bucket_of(member.incarnation());
@@ -72,35 +72,35 @@
         self.members.values().filter(differs).collect()
     }
 
-    /// Takes a rumor, if it is later than what is known.
+    /// Merges a rumor if it is later than the known state.
     pub fn merge(&mut self, rumor: &Rumor, now: Instant) -> Merged {
         let known = self.members.get(&rumor.incarnation());
         if known.is_some_and(|known| rumor.rank() <= known.rank()) {
-            return Merged::Nothing;
+            return Merged::Unchanged;
         }
         let member = match (rumor, known) {
             (Rumor::Whole(member), _) => member.clone(),
-            (Rumor::Brief(brief), Some(known)) => match brief.onto(known) {
+            (Rumor::Brief(brief), Some(known)) => match brief.apply_to(known) {
                 Some(member) => member,
-                None => return Merged::Wanted,
+                None => return Merged::NeedsWhole,
             },
             (Rumor::Brief(brief), None) if brief.standing == Standing::Gone => {
-                return Merged::Nothing;
+                return Merged::Unchanged;
             }
-            (Rumor::Brief(_), None) => return Merged::Wanted,
+            (Rumor::Brief(_), None) => return Merged::NeedsWhole,
         };
-        // A tombstone of a stranger would go round for ever, as each forgets it at another time.
+        // A tombstone of an unknown member would circulate forever, as each process forgets it at another time.
         if known.is_none() && !member.is_present() {
-            return Merged::Nothing;
+            return Merged::Unchanged;
         }
         if known.is_none() && !self.make_room() {
             return Merged::Full;
         }
-        let before = known_of(&self.members, member.incarnation());
+        let before = get_cloned(&self.members, member.incarnation());
         Merged::Changed { before, after: self.put(member, now) }
     }
 
-    /// Puts a member in place of what is known of it.
+    /// Inserts or replaces a member.
     pub fn put(&mut self, member: Member, now: Instant) -> Arc<Member> {
         let incarnation = member.incarnation();
         self.forget(incarnation);
@@ -115,7 +115,7 @@
         member
     }
 
-    /// Takes a member off.
+    /// Removes a member.
     pub fn forget(&mut self, incarnation: Incarnation) {
         let Some(old) = self.members.remove(&incarnation) else { return };
         if old.is_present() {
@@ -125,20 +125,20 @@
         self.version += 1;
     }
 
-    /// The present members at an address.
+    /// Returns the present members at an address.
     pub fn present_at(&self, addr: SocketAddr) -> impl Iterator<Item = &Arc<Member>> {
         let present = self.members.values().filter(|member| member.is_present());
         present.filter(move |member| member.fact.peer.addr == addr)
     }
 
-    /// Members that have been gone for longer than `tombstone`.
+    /// Returns the members that have been gone for longer than `tombstone`.
     pub fn stale_tombstones(&self, tombstone: Duration, now: Instant) -> Vec<Incarnation> {
         let is_stale = |since: &Instant| now.saturating_duration_since(*since) > tombstone;
         let stale = self.gone_since.iter().filter(|(_, since)| is_stale(since));
         stale.map(|(incarnation, _)| *incarnation).collect()
     }
 
-    /// Drops the oldest tombstone if the table is full; false if there is none.
+    /// Removes the oldest tombstone if the table is full; returns false if there is none.
     fn make_room(&mut self) -> bool {
         if self.members.len() < self.max {
             return true;
@@ -150,7 +150,7 @@
     }
 }
 
-fn known_of(
+fn get_cloned(
     members: &BTreeMap<Incarnation, Arc<Member>>,
     incarnation: Incarnation,
 ) -> Option<Arc<Member>> {
--- a/crates/core/src/process/membership/ticks.rs
+++ b/crates/core/src/process/membership/ticks.rs
@@ -1,4 +1,4 @@
-//! What the state machine of membership does at each tick.
+//! Work of the state machine of membership at each tick.
 
 use super::{Change, FleetMessage, Membership, RELAY_KEY, RELAYS, Standing, rendezvous_several};
 use crate::clock::Clock;
@@ -9,26 +9,26 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// Members asked to ping one that did not answer.
-const INDIRECT: usize = 3;
-/// Ticks between two digests sent to a member of the own place.
+/// Number of members that are requested to ping one that did not answer.
+const INDIRECT_PROBES: usize = 3;
+/// Ticks between two digests to members of the own place.
 const SYNC_TICKS: u64 = 8;
 /// Ticks between two pulses of a place.
-const BEAT_TICKS: u64 = 4;
-/// Ticks between two knocks at a gone member.
-const KNOCK_TICKS: u64 = 4;
-/// Seeds knocked at in a tick by a process that knows nobody.
-const SEEDS_WHEN_ALONE: usize = 3;
-/// One in so many digests to another place goes to any member, in case its relays are others now.
-const ANY_MEMBER: u32 = 4;
-/// A gap between ticks longer than so many intervals means that this process stood still.
+const PULSE_TICKS: u64 = 4;
+/// Ticks between two pings of a gone member.
+const GONE_PING_TICKS: u64 = 4;
+/// Listed addresses that a process without other members pings per tick.
+const SEEDS_PER_TICK_ALONE: usize = 3;
+/// One in this number of digests to another place goes to any member, in case its relays have changed.
+const ANY_MEMBER_ODDS: u32 = 4;
+/// A gap between ticks of more than this number of intervals means that this process was paused.
 const PAUSE_INTERVALS: u32 = 4;
 
 impl<C: Clock> Membership<C> {
-    /// Does what is due; to be called once an interval.
+    /// Does the due work; must be called once per interval.
     pub fn tick(&mut self) {
         let now = self.clock.now();
-        self.notice_pause(now);
+        self.detect_pause(now);
         self.ticks += 1;
         self.listeners = self.count_listeners();
         self.check_probes(now);
@@ -36,19 +36,20 @@
         self.probe_next();
         self.sync_in_place();
         self.relay(now);
-        self.knock_at_some();
+        self.ping_gone_and_listed();
         self.sweep(now);
     }
 
-    /// A process that stood still has heard nothing meanwhile: that speaks against nobody else.
-    fn notice_pause(&mut self, now: Instant) {
+    /// Detects a pause of this process and extends all deadlines by it: no message was received
+    /// meanwhile, so other processes must not be suspected for their silence.
+    fn detect_pause(&mut self, now: Instant) {
         let gap = now.saturating_duration_since(self.last_tick);
         self.last_tick = now;
         if gap <= self.cfg.interval * PAUSE_INTERVALS {
             return;
         }
-        self.probes.shift(gap);
-        self.pulses.shift(gap);
+        self.probes.extend_deadlines(gap);
+        self.pulses.extend_deadlines(gap);
         self.suspicions.values_mut().for_each(|(_, deadline)| *deadline += gap);
         let cause = format!("no tick for {} ms", gap.as_millis());
         self.note(Change::Paused, None, "tick", cause);
@@ -64,8 +65,8 @@
                 self.suspect(target, now);
                 continue;
             }
-            self.probes.wait_on(number, probe, now + self.cfg.indirect_timeout);
-            for helper in self.some_in_place(INDIRECT, target.incarnation) {
+            self.probes.wait_for_indirect(number, probe, now + self.cfg.indirect_timeout);
+            for helper in self.some_in_place(INDIRECT_PROBES, target.incarnation) {
                 let gossip = self.gossip_for(helper.incarnation);
                 let message = FleetMessage::PingFor { number, target: target.addr, gossip };
                 self.send(helper.addr, message);
@@ -79,7 +80,7 @@
             return;
         }
         let counter = member.fact.counter;
-        self.judge(target.incarnation, Standing::Suspected);
+        self.set_standing(target.incarnation, Standing::Suspected);
         self.suspicions.insert(target.incarnation, (counter, now + self.cfg.suspicion));
         let cause = "it answered neither this process nor others".to_owned();
         self.note(Change::Suspected, Some(target.addr), "probe", cause);
@@ -94,7 +95,7 @@
                 continue;
             }
             let addr = member.fact.peer.addr;
-            self.judge(incarnation, Standing::Gone);
+            self.set_standing(incarnation, Standing::Gone);
             let cause = "it did not refute the suspicion in time".to_owned();
             self.note(Change::Gone, Some(addr), "suspicion", cause);
         }
@@ -108,7 +109,7 @@
             });
             others.map(|member| member.incarnation()).collect()
         };
-        let turn = self.probes.next_turn(&mut self.rng, candidates);
+        let turn = self.probes.next_target(&mut self.rng, candidates);
         let Some(member) = turn.and_then(|incarnation| self.table.get(incarnation)) else { return };
         if member.is_present() && !self.probes.is_probing(member.incarnation()) {
             let peer = member.fact.peer;
@@ -131,12 +132,12 @@
         self.send(to.addr, FleetMessage::Digest { digest, gossip });
     }
 
-    /// As a relay: raises the pulse of the place, and exchanges digests with the next other place.
+    /// Does the work of a relay: raises the pulse of the place and exchanges digests with the next other place.
     fn relay(&mut self, now: Instant) {
         let place = self.place.clone();
         let is_relay = self.relays_of(&place).contains(&self.me);
-        if is_relay && self.ticks.is_multiple_of(BEAT_TICKS) {
-            self.pulses.beat(now);
+        if is_relay && self.ticks.is_multiple_of(PULSE_TICKS) {
+            self.pulses.raise_own(now);
         }
         let places = self.other_places();
         if places.is_empty() {
@@ -144,19 +145,19 @@
         }
         self.next_place = (self.next_place + 1) % places.len();
         let place = &places[self.next_place];
-        if !is_relay && !self.stands_in(place, now) {
+        if !is_relay && !self.acts_as_relay(place, now) {
             return;
         }
-        let any = self.rng.random_range(0..ANY_MEMBER) == 0;
+        let any = self.rng.random_range(0..ANY_MEMBER_ODDS) == 0;
         let candidates = if any { self.present_in(place) } else { self.relays_of(place) };
         if let Some(peer) = candidates.into_iter().choose(&mut self.rng) {
             self.send_digest(peer);
         }
     }
 
-    /// Whether to do a relay's work though it is none: the place was silent for long, perhaps as
-    /// the relays are not who they seem, and about one member of the place may try in a tick.
-    fn stands_in(&mut self, place: &str, now: Instant) -> bool {
+    /// Returns whether a process that is no relay does a relay's work: the other place was silent for
+    /// long, possibly because the known relays are outdated. About one member of the own place tries per tick.
+    fn acts_as_relay(&mut self, place: &str, now: Instant) -> bool {
         let silent = self.pulses.silent_for(place, now).unwrap_or(Duration::MAX);
         let members = self.present_in(&self.place.clone()).len().max(1);
         silent > self.cfg.cut_off_after / 2 && self.rng.random_range(0..members) == 0
@@ -179,15 +180,15 @@
         all.into_iter().filter(|peer| named.contains(&peer.incarnation)).collect()
     }
 
-    /// Knocks at a gone member of the place, which may have been cut off, and at listed strangers.
-    fn knock_at_some(&mut self) {
+    /// Pings a gone member of the place, which may only have been cut off, and listed addresses without a known member.
+    fn ping_gone_and_listed(&mut self) {
         let alone = self.table.members().len() <= 1;
-        for _ in 0..if alone { SEEDS_WHEN_ALONE } else { 1 } {
+        for _ in 0..if alone { SEEDS_PER_TICK_ALONE } else { 1 } {
             let Some(seed) = self.seeds.pop_front() else { break };
-            self.knock(Peer { addr: seed, incarnation: 0 });
+            self.ping_once(Peer { addr: seed, incarnation: 0 });
             self.seeds.push_back(seed);
         }
-        if !self.ticks.is_multiple_of(KNOCK_TICKS) {
+        if !self.ticks.is_multiple_of(GONE_PING_TICKS) {
             return;
         }
         let gone =
@@ -195,31 +196,31 @@
                 member.standing == Standing::Gone && member.fact.place == self.place
             });
         if let Some(peer) = gone.map(|member| member.fact.peer).choose(&mut self.rng) {
-            self.knock(peer);
+            self.ping_once(peer);
         }
     }
 
     fn sweep(&mut self, now: Instant) {
         for incarnation in self.table.stale_tombstones(self.cfg.tombstone, now) {
-            self.forget(incarnation, "it has been gone for long");
+            self.forget(incarnation, "its tombstone expired");
         }
         let swept = self.pulses.sweep(now);
         self.changes += u64::from(swept.changed);
         for place in swept.lost {
-            let cause = format!("nothing came from {place} for {:?}", self.cfg.cut_off_after);
+            let cause = format!("{place} has been silent for {:?}", self.cfg.cut_off_after);
             self.note(Change::PlaceCutOff, None, "pulse", cause);
         }
         for place in swept.back {
-            let cause = format!("something came from {place} again");
+            let cause = format!("{place} is no longer silent");
             self.note(Change::PlaceBack, None, "pulse", cause);
         }
-        self.forget_lost_places(now);
+        self.forget_expired_places(now);
     }
 
-    /// A place that was silent for very long is no more.
-    fn forget_lost_places(&mut self, now: Instant) {
+    /// Forgets the members of places that have expired.
+    fn forget_expired_places(&mut self, now: Instant) {
         for place in self.pulses.cut_off().clone() {
-            if !self.is_lost(&place, now) {
+            if !self.is_place_expired(&place, now) {
                 continue;
             }
             let members = self.table.members().values().filter(|m| m.fact.place == place);
@@ -230,8 +231,8 @@
         }
     }
 
-    /// Whether a place was silent for so long that its members are forgotten.
-    pub(super) fn is_lost(&self, place: &str, now: Instant) -> bool {
+    /// Returns whether a place was silent for so long that its members are forgotten.
+    pub(super) fn is_place_expired(&self, place: &str, now: Instant) -> bool {
         let silent = self.pulses.silent_for(place, now);
         silent.is_some_and(|silent| silent > self.cfg.cut_off_tombstone)
     }
--- a/crates/core/src/process/mod.rs
+++ b/crates/core/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a process.
+//! State that lives as long as a process.
 
 pub mod admission;
 mod endpoint;
--- a/crates/core/src/process/priority_queue.rs
+++ b/crates/core/src/process/priority_queue.rs
@@ -1,8 +1,8 @@
-//! A bounded queue in order of priority.
+//! A bounded priority queue.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// What waits, higher priority first, then in order of arrival.
+/// Bounded queue: higher priority first, then in order of arrival.
 #[derive(Debug)]
 pub struct PriorityQueue<T> {
     max: usize,
@@ -11,13 +11,13 @@
 }
 
 impl<T> PriorityQueue<T> {
-    /// An empty queue in which at most `max` wait.
+    /// Creates an empty queue of at most `max` items.
     pub fn new(max: usize) -> PriorityQueue<T> {
         PriorityQueue { max, len: 0, waiting: BTreeMap::new() }
     }
 
-    /// Adds behind those of the same priority. Where all is full, the newest of the lowest
-    /// priority makes room. Gives back what found no room, which may be `item`.
+    /// Adds an item behind those of the same priority. A full queue drops the newest item of the
+    /// lowest priority if that is lower than `priority`, otherwise `item`. Returns the dropped item.
     pub fn push(&mut self, priority: u8, item: T) -> Option<T> {
         let displaced = if self.len < self.max {
             None
@@ -31,17 +31,17 @@
         displaced
     }
 
-    /// Takes the oldest of the highest priority.
+    /// Removes and returns the oldest item of the highest priority.
     pub fn pop(&mut self) -> Option<T> {
         self.take(|waiting| waiting.last_entry(), VecDeque::pop_front)
     }
 
-    /// How many wait.
+    /// Returns the number of items.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
--- a/crates/core/src/process/store_watch/times.rs
+++ b/crates/core/src/process/store_watch/times.rs
@@ -3,44 +3,44 @@
 use super::Rank;
 use std::time::Duration;
 
-/// Shares of the time within which a change is to be in force. What is left is for the answer that does not come (up to
-/// [`PATIENCE`]), one check, and the way to the other processes.
-const INTERVAL_SHARE: u32 = 2;
-/// The shortest interval, whatever is asked for: two answers a second and kind of objects are paid for easily.
-const INTERVAL_LEAST: Duration = Duration::from_millis(500);
-/// The longest that the store holds a watch: each call that waits is paid for, so that short ones cost more.
+/// Divisor of the time within which a change is to be in force. The remaining time is for an answer that does not come (up to
+/// [`ANSWER_TIMEOUT`]), one check, and the propagation to the other processes.
+const INTERVAL_DIVISOR: u32 = 2;
+/// Minimum interval, whatever is requested: two answers per second and kind of objects are cheap enough.
+const MIN_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum time that the store holds a watch: each call has a cost, so shorter watches cost more.
 const LONGEST_WAIT: Duration = Duration::from_secs(8);
-/// Time for an answer, beyond what the store holds a watch: a hundred round trips in a region, twice what a store takes that
-/// is sixty times slower than usual.
-pub(super) const PATIENCE: Duration = Duration::from_millis(500);
+/// Time limit for an answer, in addition to the time that the store holds a watch: a hundred round trips in a region, twice
+/// the time of a store that is sixty times slower than usual.
+pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Within this time of a new era of the store all processes list anew, one after the other: at once they would use up what the store
-/// answers in a second, with two kinds and some thousand objects each.
-const LIST_SPREAD: Duration = Duration::from_secs(1);
+/// Time after a new era of the store within which all processes list again, one after the other: all at once they would use
+/// up the store's capacity of a second, with two kinds and some thousand objects each.
+const LIST_SPREAD_TIME: Duration = Duration::from_secs(1);
 
-/// How long a process of a rank, of so many that hear each other, leaves it to those before it to list anew in a new era of the
-/// store.
+/// Returns the delay after which a process of a rank lists again in a new era of the store, among `count` processes that are in
+/// contact.
 pub fn list_turn(rank: Rank, count: u32) -> Duration {
-    LIST_SPREAD * rank / count.max(1)
+    LIST_SPREAD_TIME * rank / count.max(1)
 }
 
 /// The times of a schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchTimes {
-    /// The longest time without an answer to the first of the processes that hear each other, while the store answers.
+    /// Maximum time between answers to the first of the processes that are in contact, while the store answers.
     pub interval: Duration,
-    /// The longest that the store holds a watch.
+    /// Maximum time that the store holds a watch.
     pub longest_wait: Duration,
 }
 
 impl WatchTimes {
-    /// The times for changes that are to be in force `within` after they were acknowledged.
+    /// Returns the times for changes that are to be in force no later than `within` after their acknowledgement.
     pub fn new(within: Duration) -> WatchTimes {
-        let interval = (within / INTERVAL_SHARE).max(INTERVAL_LEAST);
+        let interval = (within / INTERVAL_DIVISOR).max(MIN_INTERVAL);
         WatchTimes { interval, longest_wait: LONGEST_WAIT }
     }
 
-    /// Lets the store hold a watch for longer.
+    /// Sets the maximum time that the store holds a watch.
     pub fn with_longest_wait(self, longest_wait: Duration) -> WatchTimes {
         WatchTimes { longest_wait, ..self }
     }
