--- a/crates/core/src/process/store_watch/schedule.rs
+++ b/crates/core/src/process/store_watch/schedule.rs
@@ -56,7 +56,7 @@
     }
 
     /// Returns the time limit for the next answer, in addition to the wait.
-    pub fn patience(&self) -> Duration {
+    pub fn answer_timeout(&self) -> Duration {
         (ANSWER_TIMEOUT * (self.failures + 1)).min(MAX_ANSWER_TIMEOUT)
     }
 
--- a/crates/core/src/version/spreading/spread.rs
+++ b/crates/core/src/version/spreading/spread.rs
@@ -145,7 +145,7 @@
     /// The most time for the answer to the next call of the store, beyond a watch's wait: a store that takes longer, or
     /// a connection that is silent, is asked again.
     pub fn store_call_limit(&self) -> Duration {
-        self.reader.patience()
+        self.reader.answer_timeout()
     }
 
     /// A list was answered.
--- a/crates/core/src/version/spreading/store_reader.rs
+++ b/crates/core/src/version/spreading/store_reader.rs
@@ -92,8 +92,8 @@
     }
 
     /// The most time for the answer to the next call, beyond a watch's wait.
-    pub(crate) fn patience(&self) -> Duration {
-        self.schedule.patience()
+    pub(crate) fn answer_timeout(&self) -> Duration {
+        self.schedule.answer_timeout()
     }
 
     /// A call was answered.
--- a/crates/core/tests/store_watch/fleet.rs
+++ b/crates/core/tests/store_watch/fleet.rs
@@ -73,7 +73,7 @@
 struct Call {
     sent: u64,
     wait: u64,
-    patience: u64,
+    answer_timeout: u64,
     after: u64,
     /// The store has it.
     is_taken: bool,
@@ -211,7 +211,7 @@
                 process.call = Some(Call {
                     sent: now,
                     wait: if process.is_listing { 0 } else { millis(process.schedule.wait(rank)) },
-                    patience: millis(process.schedule.patience()),
+                    answer_timeout: millis(process.schedule.answer_timeout()),
                     after: process.version,
                     is_taken: false,
                     is_lost: false,
@@ -237,7 +237,7 @@
             }
             process.schedule.on_answer();
             learn(process, self.version, now);
-        } else if now >= call.sent + call.wait + call.patience {
+        } else if now >= call.sent + call.wait + call.answer_timeout {
             process.call = None;
             process.schedule.on_failure();
             let retry_in = process.schedule.retry_in(rank, age.map(Duration::from_millis));
--- a/crates/core/tests/store_watch/schedule.rs
+++ b/crates/core/tests/store_watch/schedule.rs
@@ -34,15 +34,15 @@
 #[test]
 fn patience_grows_with_calls_without_an_answer_and_is_bounded() {
     let mut schedule = schedule();
-    let mut patience = Vec::new();
+    let mut answer_timeout = Vec::new();
     for _ in 0..4 {
-        patience.push(schedule.patience().as_millis());
+        answer_timeout.push(schedule.answer_timeout().as_millis());
         schedule.on_failure();
     }
     schedule.on_answer();
 
-    assert_eq!(patience, [500, 1_000, 1_500, 1_500]);
-    assert_eq!(schedule.patience().as_millis(), 500);
+    assert_eq!(answer_timeout, [500, 1_000, 1_500, 1_500]);
+    assert_eq!(schedule.answer_timeout().as_millis(), 500);
 }
 
 #[test]
--- a/crates/gateway/src/process/store/watcher.rs
+++ b/crates/gateway/src/process/store/watcher.rs
@@ -85,7 +85,7 @@
     async fn step(&mut self) -> Result<(), StoreError> {
         self.gateway.counters.add(Count::StoreCalls);
         self.asked = Instant::now();
-        let store = self.store.with_head_limit(self.schedule.patience());
+        let store = self.store.with_head_limit(self.schedule.answer_timeout());
         let Some(at) = self.at else {
             let listing = store.list(self.kind).await?;
             self.gateway.counters.store_call.record(self.asked.elapsed());
