--- a/crates/core/src/process/store_watch/schedule.rs
+++ b/crates/core/src/process/store_watch/schedule.rs
@@ -90,7 +90,7 @@
 
     /// Handles other evidence that the store or a connection may be silent, or data that is too old: the pending call is
     /// no longer relied on.
-    pub fn on_doubt(&mut self) {
+    pub fn on_suspicion(&mut self) {
         self.needs_check = true;
     }
 }
--- a/crates/core/tests/store_watch/fleet.rs
+++ b/crates/core/tests/store_watch/fleet.rs
@@ -244,7 +244,7 @@
             process.next_call = now + millis(retry_in);
         } else if call.wait > 0 && is_too_old {
             process.call = None;
-            process.schedule.on_doubt();
+            process.schedule.on_suspicion();
         }
     }
 
--- a/crates/core/tests/store_watch/schedule.rs
+++ b/crates/core/tests/store_watch/schedule.rs
@@ -16,7 +16,7 @@
     let mut schedule = schedule();
     let first = schedule.wait(3);
     schedule.on_answer();
-    schedule.on_doubt();
+    schedule.on_suspicion();
 
     assert_eq!((first, schedule.wait(3)), (Duration::ZERO, Duration::ZERO));
 }
--- a/crates/gateway/src/process/store/watcher.rs
+++ b/crates/gateway/src/process/store/watcher.rs
@@ -97,7 +97,7 @@
             changes = store.watch(self.kind, at, wait) => changes?,
             () = self.doubted(), if !wait.is_zero() => {
                 self.gateway.counters.add(Count::WatchesDoubted);
-                self.schedule.on_doubt();
+                self.schedule.on_suspicion();
                 return Ok(());
             }
             () = self.gateway.newer_era(at.era) => return Ok(()),
