--- a/crates/core/src/process/store_watch/mod.rs
+++ b/crates/core/src/process/store_watch/mod.rs
@@ -9,7 +9,7 @@
 //!   at once.
 //! - **Check.** After a call without an answer in time, short calls without a wait follow each other until one is answered.
 //! - **Age.** Each process reports the age of its data to the others. A process calls the store itself once all others are
-//!   silent or their data is older than [`WatchSchedule::oldest`].
+//!   silent or their data is older than [`WatchSchedule::max_age`].
 
 mod schedule;
 mod times;
--- a/crates/core/src/process/store_watch/schedule.rs
+++ b/crates/core/src/process/store_watch/schedule.rs
@@ -63,7 +63,7 @@
     /// Returns the delay between a failed call and the next one. The first few processes retry fast only while no other
     /// process supplies recent data: `age` is the age of the most recent data of all processes.
     pub fn retry_in(&self, rank: Rank, age: Option<Duration>) -> Duration {
-        let is_informed = age.is_some_and(|age| age <= self.oldest(rank));
+        let is_informed = age.is_some_and(|age| age <= self.max_age(rank));
         let retries_fast = rank < FIRST_RANKS && !is_informed;
         let max = if retries_fast { MAX_RETRY_DELAY_OF_FIRST } else { MAX_RETRY_DELAY };
         let doublings = self.failures.saturating_sub(1).min(8);
@@ -71,7 +71,7 @@
     }
 
     /// Returns the age that the most recent data of all processes may reach before this one calls the store itself.
-    pub fn oldest(&self, rank: Rank) -> Duration {
+    pub fn max_age(&self, rank: Rank) -> Duration {
         let by_rank = (AGE_PER_RANK * rank).min(MAX_AGE_BY_RANK);
         self.times.interval + ANSWER_TIMEOUT + PROPAGATION_TIME + by_rank
     }
--- a/crates/core/tests/store_watch/fleet.rs
+++ b/crates/core/tests/store_watch/fleet.rs
@@ -200,8 +200,8 @@
         let others = self.others_age(index);
         let own = self.processes[index].heard.map(|heard| now - heard);
         let age = others.into_iter().chain(own).min();
-        let oldest = millis(self.processes[index].schedule.oldest(rank));
-        let is_too_old = age.is_none_or(|age| age > oldest);
+        let max_age = millis(self.processes[index].schedule.max_age(rank));
+        let is_too_old = age.is_none_or(|age| age > max_age);
         let is_silent = self.course.is_silent(now);
         let is_cut = self.course.dead_connections.iter().any(|at| (now - STEP..now).contains(at));
         let process = &mut self.processes[index];
--- a/crates/core/tests/store_watch/schedule.rs
+++ b/crates/core/tests/store_watch/schedule.rs
@@ -74,9 +74,9 @@
 fn each_process_in_turn_leaves_it_longer_to_the_others_to_ask() {
     let schedule = schedule();
 
-    let oldest: Vec<u128> = [0, 1, 5, 400].map(|rank| schedule.oldest(rank).as_millis()).to_vec();
+    let max_age: Vec<u128> = [0, 1, 5, 400].map(|rank| schedule.max_age(rank).as_millis()).to_vec();
 
-    assert_eq!(oldest, [1_800, 1_900, 2_300, 2_800]);
+    assert_eq!(max_age, [1_800, 1_900, 2_300, 2_800]);
 }
 
 #[test]
--- a/crates/gateway/src/process/store/watcher.rs
+++ b/crates/gateway/src/process/store/watcher.rs
@@ -140,7 +140,7 @@
     /// Whether what all gateways that are heard know of the store is too old to rely on.
     pub(super) fn is_too_old(&self) -> bool {
         let age = self.gateway.knowledge_age(self.kind, Instant::now());
-        age.is_none_or(|age| age > self.schedule.oldest(self.rank()))
+        age.is_none_or(|age| age > self.schedule.max_age(self.rank()))
     }
 
     async fn on_listing(&mut self, listing: Listing) -> Result<(), StoreError> {
