--- a/crates/core/src/process/store_watch/schedule.rs
+++ b/crates/core/src/process/store_watch/schedule.rs
@@ -65,9 +65,9 @@
     pub fn retry_in(&self, rank: Rank, age: Option<Duration>) -> Duration {
         let is_informed = age.is_some_and(|age| age <= self.max_age(rank));
         let retries_fast = rank < FIRST_RANKS && !is_informed;
-        let max = if retries_fast { MAX_RETRY_DELAY_OF_FIRST } else { MAX_RETRY_DELAY };
+        let max_delay = if retries_fast { MAX_RETRY_DELAY_OF_FIRST } else { MAX_RETRY_DELAY };
         let doublings = self.failures.saturating_sub(1).min(8);
-        FIRST_RETRY_DELAY.saturating_mul(1 << doublings).min(max)
+        FIRST_RETRY_DELAY.saturating_mul(1 << doublings).min(max_delay)
     }
 
     /// Returns the age that the most recent data of all processes may reach before this one calls the store itself.
--- a/crates/core/tests/common/fleet_sim.rs
+++ b/crates/core/tests/common/fleet_sim.rs
@@ -1,4 +1,4 @@
-//! Many members over a network that delays, loses and cuts, on a paused clock.
+//! Simulation of many members over an unreliable network, on a paused clock.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -12,14 +12,14 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Ticks in a second of the default settings.
+/// Ticks per second with the default settings.
 pub const TICKS_PER_S: usize = 4;
-/// Messages that wait at a paused process; the network drops the rest.
+/// Maximum number of messages that wait at a paused process; the network drops the rest.
 const PAUSED_INBOX: usize = 2_000;
-/// Bytes of an envelope around a message.
+/// Size of the envelope of a message in bytes.
 const ENVELOPE_BYTES: usize = 40;
 
-/// One process, at one address.
+/// One process at one address.
 pub struct Node {
     pub membership: Membership<ManualClock>,
     pub peer: Peer,
@@ -27,13 +27,13 @@
     pub running: bool,
     pub paused: bool,
     pub leaving: bool,
-    /// Halves of a place that is split; a message between halves is lost.
+    /// The half it belongs to while its place is split; messages between halves are lost.
     pub half: bool,
     inbox: VecDeque<(Peer, FleetMessage)>,
     ranks: BTreeMap<Incarnation, (u64, Standing)>,
 }
 
-/// Many members over a network that delays, loses and cuts.
+/// Many members over a network that delays, loses and blocks messages.
 pub struct FleetSim {
     pub clock: ManualClock,
     pub nodes: Vec<Node>,
@@ -43,7 +43,7 @@
     pub list_works: bool,
     /// Pairs of processes that can't reach each other directly, the lower index first.
     pub broken: BTreeSet<(usize, usize)>,
-    /// Bytes and messages sent by all, since the last reset.
+    /// Bytes and messages sent by all processes since a test last reset the counters.
     pub bytes: u64,
     pub messages: u64,
     pub largest: usize,
@@ -55,7 +55,7 @@
 }
 
 impl FleetSim {
-    /// Nobody yet.
+    /// Creates a simulation without processes.
     pub fn new(seed: u64) -> FleetSim {
         FleetSim {
             clock: ManualClock::new(),
@@ -76,7 +76,8 @@
         }
     }
 
-    /// A fleet of `size` in `places` places that has had time to meet.
+    /// Creates a fleet of `size` processes in `places` places and gives it 60 ticks to
+    /// exchange its members.
     pub fn started(seed: u64, size: usize, places: usize) -> FleetSim {
         let mut sim = FleetSim::new(seed);
         for number in 0..size {
@@ -86,7 +87,7 @@
         sim
     }
 
-    /// Starts a process at a new address, and returns its index.
+    /// Starts a process at a new address and returns its index.
     pub fn join(&mut self, place: usize) -> usize {
         let index = self.nodes.len();
         let port = 10_000 + index;
@@ -96,12 +97,12 @@
         index
     }
 
-    /// Ends a process at once, and starts another at its address.
+    /// Kills a process and starts another one at its address.
     pub fn restart(&mut self, index: usize) {
         let old = &self.nodes[index];
         let (addr, place, half) = (old.peer.addr, old.place, old.half);
         let generation = old.membership.fact().generation;
-        // Clocks of machines jump: now and then a later start has the lower generation.
+        // The clocks of machines may jump: in one of four cases the later start has the lower generation.
         let generation = if self.rng.random_range(0..4) == 0 { 1 } else { generation + 1 };
         self.nodes[index] = Node { half, ..self.new_node(addr, place, generation) };
     }
@@ -124,24 +125,24 @@
         }
     }
 
-    /// The process stands still.
+    /// Pauses a process.
     pub fn pause(&mut self, index: usize) {
         self.nodes[index].paused = true;
     }
 
-    /// The process goes on, and finds what came meanwhile.
+    /// Resumes a process, which then receives the messages that arrived meanwhile.
     pub fn resume(&mut self, index: usize) {
         self.nodes[index].paused = false;
     }
 
-    /// Ends a process at once.
+    /// Kills a process.
     pub fn kill(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         node.running = false;
         node.inbox.clear();
     }
 
-    /// The process takes no new work.
+    /// Marks a process as leaving, if it runs and is not paused.
     pub fn leave(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         if node.running && !node.paused {
@@ -151,7 +152,7 @@
         }
     }
 
-    /// All faults of the network end, and all paused go on.
+    /// Ends all faults of the network and resumes all paused processes.
     pub fn heal(&mut self) {
         self.loss = 0.0;
         self.cut_places.clear();
@@ -165,9 +166,9 @@
         (0..ticks).for_each(|_| self.tick());
     }
 
-    /// Runs until all agree with the truth, and returns the ticks that it took, if under `most`.
-    pub fn run_until_agreed(&mut self, most: usize) -> Option<usize> {
-        for ticks in 0..=most {
+    /// Runs until all views equal the truth and returns the number of ticks, or none after `max_ticks`.
+    pub fn run_until_agreed(&mut self, max_ticks: usize) -> Option<usize> {
+        for ticks in 0..=max_ticks {
             if self.disagreement().is_none() {
                 return Some(ticks);
             }
@@ -176,13 +177,13 @@
         None
     }
 
-    /// The processes that run and take work.
+    /// Returns the processes that run and take work.
     pub fn truth(&self) -> BTreeSet<Incarnation> {
         let live = self.nodes.iter().filter(|node| node.running && !node.leaving);
         live.map(|node| node.peer.incarnation).collect()
     }
 
-    /// A process whose view differs from the truth, and how.
+    /// Describes a process whose view differs from the truth.
     pub fn disagreement(&self) -> Option<String> {
         let truth = self.truth();
         for node in self.nodes.iter().filter(|node| node.running && !node.paused) {
@@ -203,11 +204,11 @@
         None
     }
 
-    /// One interval: lists are read, all tick, and messages travel to and fro.
+    /// Simulates one interval: reads of the list, ticks of all processes and deliveries of messages.
     pub fn tick(&mut self) {
         self.clock.advance(MembershipConfig::INTERVAL);
         self.ticks += 1;
-        self.show_list();
+        self.publish_list();
         for index in 0..self.nodes.len() {
             self.receive_all(index);
             if self.nodes[index].running && !self.nodes[index].paused {
@@ -222,8 +223,9 @@
         self.check_ranks();
     }
 
-    /// The list lags by some seconds, and each process reads it now and then.
-    fn show_list(&mut self) {
+    /// Publishes the list with a lag of some seconds. Each process reads it every two seconds, or in each tick while it
+    /// knows nobody else.
+    fn publish_list(&mut self) {
         let shown = self.nodes.iter().filter(|node| node.running);
         let listed = shown.map(|node| Listed { addr: node.peer.addr, leaving: node.leaving });
         let listed: Vec<Listed> = listed.collect();
@@ -298,7 +300,7 @@
         !cut && !split
     }
 
-    /// No process ever falls back on what it knows of a member.
+    /// Checks that the rank of a member never decreases in the view of a process.
     fn check_ranks(&mut self) {
         for node in &mut self.nodes {
             for member in node.membership.view().members() {
@@ -311,7 +313,7 @@
     }
 }
 
-/// What a process of the simulation tells of itself.
+/// Returns the report of a simulated process on itself.
 pub fn fact(peer: Peer, place: usize, generation: u64) -> InstanceFact {
     let endpoint = |number: u32| EndpointFact {
         id: format!("lexis-{}-{number}", peer.addr.ip()),
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of this crate share.
+//! Code shared by the tests of this crate.
 
 #![allow(dead_code, reason = "each test program uses a part")]
 
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: each rule by itself, on a paused clock.
+//! Membership: single rules, on a paused clock.
 
 mod common;
 
@@ -23,7 +23,7 @@
     Membership::new(cfg, clock.clone(), fact(peer(1), 0, 1), SEED)
 }
 
-fn tell(membership: &mut Membership<ManualClock>, from: Peer, rumors: Vec<Rumor>) {
+fn send_rumors(membership: &mut Membership<ManualClock>, from: Peer, rumors: Vec<Rumor>) {
     let gossip = Gossip { rumors, pulses: Vec::new() };
     membership.on_message(from, FleetMessage::News { gossip });
 }
@@ -82,8 +82,8 @@
         let view = node.membership.view();
         assert!(view.get(old).is_none_or(|member| !member.is_present()));
     }
-    let of_old = sim.events.iter().filter(|(_, event)| event.change == Change::Suspected);
-    assert_eq!(of_old.count(), 0);
+    let suspicions = sim.events.iter().filter(|(_, event)| event.change == Change::Suspected);
+    assert_eq!(suspicions.count(), 0);
 }
 
 #[test]
@@ -167,7 +167,7 @@
 fn the_list_is_but_a_hint() {
     let clock = ManualClock::new();
     let mut membership = alone(&clock, MembershipConfig::new());
-    tell(&mut membership, peer(2), vec![Rumor::Whole(Member::new(fact(peer(2), 0, 1)))]);
+    send_rumors(&mut membership, peer(2), vec![Rumor::Whole(Member::new(fact(peer(2), 0, 1)))]);
 
     membership.on_list(&[]);
     let unlisted = membership.view().live().count();
@@ -179,15 +179,15 @@
 }
 
 #[test]
-fn an_older_word_changes_nothing() {
+fn an_older_fact_changes_nothing() {
     let clock = ManualClock::new();
     let mut membership = alone(&clock, MembershipConfig::new());
     let mut newer = Member::new(fact(peer(2), 0, 1));
     newer.fact.counter = 5;
     newer.fact.applied = 9;
 
-    tell(&mut membership, peer(2), vec![Rumor::Whole(newer.clone())]);
-    tell(&mut membership, peer(3), vec![Rumor::Whole(Member::new(fact(peer(2), 0, 1)))]);
+    send_rumors(&mut membership, peer(2), vec![Rumor::Whole(newer.clone())]);
+    send_rumors(&mut membership, peer(3), vec![Rumor::Whole(Member::new(fact(peer(2), 0, 1)))]);
 
     assert_eq!(membership.view().get(2).map(|member| Member::clone(member)), Some(newer));
 }
@@ -198,7 +198,7 @@
     let mut membership = alone(&clock, MembershipConfig::new());
     let gone = Member { standing: Standing::Gone, ..Member::new(fact(peer(2), 0, 1)) };
 
-    tell(&mut membership, peer(3), vec![Rumor::Whole(gone)]);
+    send_rumors(&mut membership, peer(3), vec![Rumor::Whole(gone)]);
 
     assert!(membership.view().get(2).is_none());
 }
@@ -209,7 +209,7 @@
     let mut membership = alone(&clock, MembershipConfig::new());
     let member = Member::new(fact(peer(2), 0, 1));
     let gone = Member { standing: Standing::Gone, ..member.clone() };
-    tell(&mut membership, peer(3), vec![Rumor::Whole(member), Rumor::Whole(gone)]);
+    send_rumors(&mut membership, peer(3), vec![Rumor::Whole(member), Rumor::Whole(gone)]);
 
     let kept = membership.view().get(2).is_some();
     clock.advance(MembershipConfig::TOMBSTONE + Duration::from_secs(1));
@@ -224,12 +224,12 @@
     let clock = ManualClock::new();
     let mut membership = alone(&clock, MembershipConfig::new().with_max_members(4));
     let whole = |number| Rumor::Whole(Member::new(fact(peer(number), 0, 1)));
-    tell(&mut membership, peer(2), vec![whole(2), whole(3), whole(4)]);
+    send_rumors(&mut membership, peer(2), vec![whole(2), whole(3), whole(4)]);
     let gone = Member { standing: Standing::Gone, ..Member::new(fact(peer(3), 0, 1)) };
 
-    tell(&mut membership, peer(2), vec![whole(5)]);
+    send_rumors(&mut membership, peer(2), vec![whole(5)]);
     let while_full = membership.view().get(5).is_some();
-    tell(&mut membership, peer(2), vec![Rumor::Whole(gone), whole(5)]);
+    send_rumors(&mut membership, peer(2), vec![Rumor::Whole(gone), whole(5)]);
 
     assert!(!while_full);
     assert!(membership.view().get(5).is_some());
@@ -251,14 +251,14 @@
 }
 
 #[test]
-fn nobody_talks_to_all() {
+fn no_member_sends_to_all_others() {
     let mut sim = FleetSim::started(SEED, 120, 6);
     sim.run(20 * TICKS_PER_S);
 
     sim.messages = 0;
     sim.run(10 * TICKS_PER_S);
 
-    // A probe, its answer and a digest or two a tick; to all it would be 119.
+    // A probe, its answer and one or two digests per tick; a message to each other member would make 119.
     let each = sim.messages as f64 / 120.0 / (10 * TICKS_PER_S) as f64;
     assert!(each < 5.0, "{each} messages a member and tick");
 }
--- a/crates/core/tests/membership_fuzz.rs
+++ b/crates/core/tests/membership_fuzz.rs
@@ -1,4 +1,4 @@
-//! Stateful fuzzing of membership: many state machines, any mix of faults, and the truth as oracle.
+//! Stateful fuzzing of membership: many state machines with random faults, compared with the truth.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 const SEED: u64 = 20_261_202;
-/// Ticks after healing within which all must agree with the truth.
+/// Number of ticks after the end of all faults within which all views must equal the truth.
 const BOUND: usize = 40 * TICKS_PER_S;
 const PLACES: usize = 3;
 
@@ -53,7 +53,7 @@
             sim.join(place % PLACES);
         }
         Op::Join(_) => {}
-        // One stays, so that there is somebody to meet.
+        // The first process of each place is never killed, so that the others can contact it.
         Op::Kill(number) if at(number) >= PLACES => sim.kill(at(number)),
         Op::Kill(_) => {}
         Op::Restart(number) => sim.restart(at(number)),
--- a/crates/core/tests/membership_naive.rs
+++ b/crates/core/tests/membership_naive.rs
@@ -1,5 +1,5 @@
-//! Membership against a naive version, in which every process tells all others in every tick that
-//! it is there: the same faults must end in the same views.
+//! Compares membership with a naive version, in which every process sends a heartbeat to all others in
+//! every tick: the same faults must lead to the same views.
 
 mod common;
 
@@ -10,18 +10,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const SEED: u64 = 41;
-/// Ticks of silence after which the naive version holds a process gone.
+/// Ticks of silence after which the naive version considers a process gone.
 const SILENCE: u64 = 3 * TICKS_PER_S as u64;
 
-/// What each process heard of each other, and when.
+/// The tick of the last heartbeat that each process received from each other one.
 #[derive(Default)]
 struct Naive {
-    heard: BTreeMap<Incarnation, BTreeMap<Incarnation, u64>>,
+    last_contact: BTreeMap<Incarnation, BTreeMap<Incarnation, u64>>,
     now: u64,
 }
 
 impl Naive {
-    /// Each process that runs tells all that it can reach.
+    /// Sends a heartbeat of each running process to all that it can reach.
     fn tick(&mut self, sim: &FleetSim) {
         self.now += 1;
         let acting: Vec<_> = sim.nodes.iter().filter(|node| node.running && !node.paused).collect();
@@ -30,16 +30,16 @@
                 let cut = from.place != to.place
                     && (sim.cut_places.contains(&from.place) || sim.cut_places.contains(&to.place));
                 if !cut && !from.leaving {
-                    let heard = self.heard.entry(to.peer.incarnation).or_default();
-                    heard.insert(from.peer.incarnation, self.now);
+                    let last_contact = self.last_contact.entry(to.peer.incarnation).or_default();
+                    last_contact.insert(from.peer.incarnation, self.now);
                 }
             }
         }
     }
 
     fn live(&self, of: Incarnation) -> BTreeSet<Incarnation> {
-        let Some(heard) = self.heard.get(&of) else { return BTreeSet::new() };
-        let recent = heard.iter().filter(|(_, at)| self.now - **at < SILENCE);
+        let Some(last_contact) = self.last_contact.get(&of) else { return BTreeSet::new() };
+        let recent = last_contact.iter().filter(|(_, at)| self.now - **at < SILENCE);
         recent.map(|(incarnation, _)| *incarnation).collect()
     }
 }
--- a/crates/core/tests/membership_rules.rs
+++ b/crates/core/tests/membership_rules.rs
@@ -1,4 +1,4 @@
-//! Membership: rules of one state machine, with its messages made by hand.
+//! Membership: rules of one state machine, with handcrafted messages.
 
 mod common;
 
@@ -26,7 +26,7 @@
     Membership::new(MembershipConfig::new(), clock.clone(), fact(peer(1), 0, 1), SEED)
 }
 
-fn tell(membership: &mut Membership<ManualClock>, from: Peer, rumors: Vec<Rumor>) {
+fn send_rumors(membership: &mut Membership<ManualClock>, from: Peer, rumors: Vec<Rumor>) {
     let gossip = Gossip { rumors, pulses: vec![("place-1".into(), 1)] };
     membership.on_message(from, FleetMessage::News { gossip });
 }
@@ -47,11 +47,11 @@
 }
 
 #[test]
-fn waits_that_ended_while_it_stood_still_speak_against_nobody() {
+fn deadlines_that_pass_during_a_pause_change_no_standing() {
     let clock = ManualClock::new();
     let mut membership = alone(&clock);
-    tell(&mut membership, peer(3), vec![whole(peer(3), 1, 1), whole(peer(2), 0, 1)]);
-    tell(&mut membership, peer(3), vec![suspected(peer(2))]);
+    send_rumors(&mut membership, peer(3), vec![whole(peer(3), 1, 1), whole(peer(2), 0, 1)]);
+    send_rumors(&mut membership, peer(3), vec![suspected(peer(2))]);
     tick(&mut membership, &clock);
 
     clock.advance(Duration::from_secs(60));
@@ -66,7 +66,7 @@
 fn a_suspected_member_has_time_to_refute() {
     let clock = ManualClock::new();
     let mut membership = alone(&clock);
-    tell(&mut membership, peer(2), vec![whole(peer(2), 0, 1)]);
+    send_rumors(&mut membership, peer(2), vec![whole(peer(2), 0, 1)]);
 
     let mut suspected_at = None;
     let mut gone_at = None;
@@ -87,12 +87,12 @@
 fn a_refutation_within_that_time_holds() {
     let clock = ManualClock::new();
     let mut membership = alone(&clock);
-    tell(&mut membership, peer(2), vec![whole(peer(2), 0, 1), suspected(peer(2))]);
+    send_rumors(&mut membership, peer(2), vec![whole(peer(2), 0, 1), suspected(peer(2))]);
     let mut refuted = fact(peer(2), 0, 1);
     refuted.counter = 2;
 
     tick(&mut membership, &clock);
-    tell(&mut membership, peer(2), vec![Rumor::Whole(Member::new(refuted))]);
+    send_rumors(&mut membership, peer(2), vec![Rumor::Whole(Member::new(refuted))]);
 
     assert_eq!(standing(&membership, 2), Some(Standing::Trusted));
 }
@@ -104,24 +104,24 @@
     sim.broken.insert((0, 1));
     sim.run(20 * TICKS_PER_S);
 
-    let doubts = sim.events.iter().filter(|(_, event)| event.change == Change::Suspected);
-    assert_eq!(doubts.count(), 0);
+    let suspicions = sim.events.iter().filter(|(_, event)| event.change == Change::Suspected);
+    assert_eq!(suspicions.count(), 0);
 }
 
 #[test]
-fn leaving_is_told_at_once() {
+fn leaving_is_announced_at_once() {
     let clock = ManualClock::new();
     let mut membership = alone(&clock);
     let others = (2..6).map(|number| whole(peer(number), 0, 1));
-    tell(&mut membership, peer(2), others.chain([whole(peer(7), 1, 1)]).collect());
+    send_rumors(&mut membership, peer(2), others.chain([whole(peer(7), 1, 1)]).collect());
     membership.take_output();
 
     membership.leave();
 
-    let told = membership.take_output().sends.into_iter().map(|(to, _)| to.addr.port());
-    let mut told: Vec<u16> = told.collect();
-    told.sort();
-    assert_eq!(told, [2, 3, 4, 5, 7]);
+    let notified = membership.take_output().sends.into_iter().map(|(to, _)| to.addr.port());
+    let mut notified: Vec<u16> = notified.collect();
+    notified.sort();
+    assert_eq!(notified, [2, 3, 4, 5, 7]);
 }
 
 #[test]
@@ -130,8 +130,8 @@
     let mut membership = alone(&clock);
     let restarted = Peer { incarnation: 99, ..peer(2) };
 
-    tell(&mut membership, peer(3), vec![whole(peer(2), 0, 1), whole(restarted, 0, 2)]);
-    tell(&mut membership, peer(3), vec![whole(Peer { incarnation: 98, ..peer(2) }, 0, 1)]);
+    send_rumors(&mut membership, peer(3), vec![whole(peer(2), 0, 1), whole(restarted, 0, 2)]);
+    send_rumors(&mut membership, peer(3), vec![whole(Peer { incarnation: 98, ..peer(2) }, 0, 1)]);
 
     assert_eq!(standing(&membership, 2), Some(Standing::Gone));
     assert_eq!(standing(&membership, 98), Some(Standing::Gone));
@@ -139,11 +139,11 @@
 }
 
 #[test]
-fn a_process_outdoes_any_other_incarnation_at_its_own_address() {
+fn a_process_supersedes_any_other_incarnation_at_its_own_address() {
     let clock = ManualClock::new();
     let mut membership = alone(&clock);
 
-    tell(&mut membership, peer(3), vec![whole(Peer { incarnation: 99, ..peer(1) }, 0, 50)]);
+    send_rumors(&mut membership, peer(3), vec![whole(Peer { incarnation: 99, ..peer(1) }, 0, 50)]);
 
     assert_eq!(standing(&membership, 99), Some(Standing::Gone));
     assert!(membership.fact().generation > 50);
@@ -153,7 +153,7 @@
 fn an_answer_by_another_incarnation_ends_the_probed_one() {
     let clock = ManualClock::new();
     let mut membership = alone(&clock);
-    tell(&mut membership, peer(2), vec![whole(peer(2), 0, 1)]);
+    send_rumors(&mut membership, peer(2), vec![whole(peer(2), 0, 1)]);
     membership.take_output();
     let ping = tick(&mut membership, &clock).sends.into_iter().find_map(|(_, message)| {
         let FleetMessage::Ping { number, .. } = message else { return None };
@@ -171,8 +171,8 @@
 fn digests_heal_in_both_directions() {
     let clock = ManualClock::new();
     let mut membership = alone(&clock);
-    tell(&mut membership, peer(2), vec![whole(peer(2), 0, 1)]);
-    // Tells all its news often enough that only a digest can still bring them up.
+    send_rumors(&mut membership, peer(2), vec![whole(peer(2), 0, 1)]);
+    // Sends all rumors as often as they are repeated, so that only a digest can still report them.
     (0..40).for_each(|_| drop(tick(&mut membership, &clock)));
     let empty = vec![0; 32];
 
@@ -183,12 +183,12 @@
     membership.on_message(peer(2), answer);
     let answered = membership.take_output().sends;
 
-    let tells_self = |message: &FleetMessage| match message {
+    let reports_self = |message: &FleetMessage| match message {
         FleetMessage::Differences { gossip, .. } | FleetMessage::News { gossip } => {
             gossip.rumors.iter().any(|rumor| rumor.incarnation() == 1)
         }
         _ => false,
     };
-    assert!(asked.iter().any(|(_, message)| tells_self(message)));
-    assert!(answered.iter().any(|(_, message)| tells_self(message)));
+    assert!(asked.iter().any(|(_, message)| reports_self(message)));
+    assert!(answered.iter().any(|(_, message)| reports_self(message)));
 }
--- a/crates/core/tests/rendezvous.rs
+++ b/crates/core/tests/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing: agreement, evenness, and few moves.
+//! Rendezvous hashing: agreement, even distribution and few moved keys.
 
 use sorrellock_core::process::membership::{rendezvous, rendezvous_several};
 use std::collections::HashMap;
@@ -29,14 +29,17 @@
 fn keys_spread_evenly() {
     let candidates: Vec<u64> = (1..=20).map(|n| n * 7919).collect();
 
-    let mut held: HashMap<u64, u32> = HashMap::new();
+    let mut keys_per_candidate: HashMap<u64, u32> = HashMap::new();
     for number in 0..KEYS {
         let named = rendezvous(&key(number), candidates.iter().copied()).unwrap();
-        *held.entry(named).or_default() += 1;
+        *keys_per_candidate.entry(named).or_default() += 1;
     }
 
     let even = KEYS / 20;
-    assert!(held.values().all(|count| (even / 2..even * 2).contains(count)), "{held:?}");
+    assert!(
+        keys_per_candidate.values().all(|count| (even / 2..even * 2).contains(count)),
+        "{keys_per_candidate:?}"
+    );
 }
 
 #[test]
--- a/crates/core/tests/store_watch/fleet.rs
+++ b/crates/core/tests/store_watch/fleet.rs
@@ -1,25 +1,26 @@
-//! A small fleet that follows one object of a store, on simulated time, in ms.
+//! Simulation of a small fleet that watches one object of a store, on simulated time in ms.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use sorrellock_core::process::store_watch::{Rank, WatchSchedule, WatchTimes, list_turn};
 use std::time::Duration;
 
-/// One step.
+/// Time step of the simulation.
 const STEP: u64 = 10;
-/// From a process to the store and back.
+/// Round trip time between a process and the store.
 const ROUND_TRIP: u64 = 10;
-/// How often a process tells the others what it knows.
-const TELL_EVERY: u64 = 100;
-/// A process that wasn't heard for so long is not counted.
-const LAPSE: u64 = 1_500;
-/// How long another process may know more before it is asked, and how long that takes.
-const BEHIND_PATIENCE: u64 = 300;
+/// Interval at which a process reports its state to the others.
+const REPORT_INTERVAL: u64 = 100;
+/// A process whose last report is older is not counted.
+const REPORT_EXPIRY: u64 = 1_500;
+/// Time between the report of a higher version by another process and the fetch of that version, and the duration of
+/// the fetch.
+const MAX_BEHIND: u64 = 300;
 const FETCH_TIME: u64 = 100;
-/// After news the next watch follows so much later.
+/// Pause between an answer with a change and the next watch.
 const PAUSE: u64 = 200;
 
-/// A span in which something is out of order.
+/// A period of a fault.
 #[derive(Clone, Copy, Debug)]
 pub struct Span {
     pub from: u64,
@@ -31,104 +32,104 @@
         self.from + self.lasts
     }
 
-    fn holds(self, now: u64) -> bool {
+    fn covers(self, now: u64) -> bool {
         (self.from..self.end()).contains(&now)
     }
 }
 
-/// What goes wrong.
+/// Faults and changes of a simulation run.
 #[derive(Clone, Debug, Default)]
-pub struct Course {
-    /// The store answers nothing, also not afterwards.
+pub struct Scenario {
+    /// Periods in which the store answers no call. Calls that it loses are never answered.
     pub silences: Vec<Span>,
-    /// Connections to the store that are open at these times go silent for good.
+    /// Times at which all open connections to the store become silent permanently.
     pub dead_connections: Vec<u64>,
-    /// The processes don't hear each other.
-    pub unheard: Vec<Span>,
-    /// One message in so many is lost; 0 for none.
+    /// Periods in which the processes receive no reports from each other.
+    pub partitions: Vec<Span>,
+    /// One report in this number is lost; 0 for none.
     pub loss: u32,
-    /// When the store has come back from an older copy, each time in a new era.
+    /// Times at which the store returns from an older copy, each time in a new era.
     pub restores: Vec<u64>,
-    /// When the operator changes the object; a change that meets a silence is written at its end.
+    /// Times at which the operator changes the object; a change during a silence is written at its end.
     pub changes: Vec<u64>,
 }
 
-impl Course {
+impl Scenario {
     fn is_silent(&self, now: u64) -> bool {
-        self.silences.iter().any(|span| span.holds(now))
+        self.silences.iter().any(|span| span.covers(now))
     }
 
     fn era(&self, now: u64) -> u64 {
         self.restores.iter().filter(|at| **at <= now).count() as u64
     }
 
-    /// When the store has acknowledged a change.
+    /// Returns when the store acknowledges a change.
     pub fn acknowledged(&self, change: u64) -> u64 {
-        let silence = self.silences.iter().find(|span| span.holds(change));
+        let silence = self.silences.iter().find(|span| span.covers(change));
         silence.map_or(change, |span| span.end())
     }
 }
 
-/// A call under way.
+/// A pending call.
 struct Call {
     sent: u64,
     wait: u64,
     answer_timeout: u64,
     after: u64,
-    /// The store has it.
-    is_taken: bool,
+    /// The store has received it.
+    is_received: bool,
     is_lost: bool,
 }
 
 struct Process {
     schedule: WatchSchedule,
     call: Option<Call>,
-    /// No call before this.
+    /// Earliest time of the next call.
     next_call: u64,
     version: u64,
-    /// When the store last told all that it had.
-    heard: Option<u64>,
-    /// Of each other process: when its last message came, and what it knew by when.
-    told: Vec<Option<Told>>,
+    /// Time of the last answer of the store.
+    answered_at: Option<u64>,
+    /// The last report of each other process.
+    reports: Vec<Option<Report>>,
     behind_since: Option<u64>,
-    /// The newest era that it has heard of.
+    /// The newest era that it knows of.
     known_era: u64,
-    /// It waits for its turn to list in a newer era, or lists.
+    /// It waits for its turn to list in a newer era or is listing.
     is_listing: bool,
-    /// When it had listed in each era.
+    /// Time at which it had listed in each era.
     listed_at: Vec<u64>,
-    /// When each version was known.
+    /// Time at which it knew each version.
     known_at: Vec<u64>,
 }
 
 #[derive(Clone, Copy)]
-struct Told {
+struct Report {
     at: u64,
     version: u64,
-    heard: Option<u64>,
+    answered_at: Option<u64>,
     era: u64,
 }
 
-/// The fleet.
+/// The simulated fleet.
 pub struct Fleet {
     processes: Vec<Process>,
-    course: Course,
+    scenario: Scenario,
     rng: SmallRng,
     now: u64,
     version: u64,
-    /// Calls that the store got.
+    /// Number of calls sent to the store.
     pub calls: u64,
 }
 
 impl Fleet {
-    pub fn new(count: usize, within: Duration, course: Course, seed: u64) -> Fleet {
+    pub fn new(count: usize, within: Duration, scenario: Scenario, seed: u64) -> Fleet {
         let process = || Process {
             schedule: WatchSchedule::new(WatchTimes::new(within)),
             call: None,
             next_call: 0,
             version: 0,
-            heard: None,
-            told: vec![None; count],
+            answered_at: None,
+            reports: vec![None; count],
             behind_since: None,
             known_era: 0,
             is_listing: true,
@@ -137,57 +138,57 @@
         };
         let processes = (0..count).map(|_| process()).collect();
         let rng = SmallRng::seed_from_u64(seed);
-        Fleet { processes, course, rng, now: 0, version: 0, calls: 0 }
+        Fleet { processes, scenario, rng, now: 0, version: 0, calls: 0 }
     }
 
-    /// Runs until `end`, and tells for each change how long after its acknowledgement the last process knew it.
+    /// Runs until `end`.
     pub fn run(&mut self, end: u64) {
         while self.now < end {
             self.now += STEP;
             self.write();
-            self.tell();
+            self.send_reports();
             for index in 0..self.processes.len() {
                 self.advance(index);
             }
         }
     }
 
-    /// When the last process knew a change, counted from 0; nothing if one never did.
+    /// Returns when the last process knew a change, by its index; none if one never did.
     pub fn known_everywhere(&self, change: usize) -> Option<u64> {
         let known = self.processes.iter().map(|process| process.known_at.get(change).copied());
         known.collect::<Option<Vec<u64>>>()?.into_iter().max()
     }
 
     fn write(&mut self) {
-        let changes = &self.course.changes;
+        let changes = &self.scenario.changes;
         let written =
-            changes.iter().filter(|change| self.course.acknowledged(**change) <= self.now);
+            changes.iter().filter(|change| self.scenario.acknowledged(**change) <= self.now);
         self.version = written.count() as u64;
     }
 
-    fn tell(&mut self) {
-        if !self.now.is_multiple_of(TELL_EVERY)
-            || self.course.unheard.iter().any(|span| span.holds(self.now))
+    fn send_reports(&mut self) {
+        if !self.now.is_multiple_of(REPORT_INTERVAL)
+            || self.scenario.partitions.iter().any(|span| span.covers(self.now))
         {
             return;
         }
-        let told: Vec<Told> = self
+        let sent: Vec<Report> = self
             .processes
             .iter()
-            .map(|process| Told {
+            .map(|process| Report {
                 at: self.now,
                 version: process.version,
-                heard: process.heard,
+                answered_at: process.answered_at,
                 era: process.known_era,
             })
             .collect();
         for (to, process) in self.processes.iter_mut().enumerate() {
-            for (from, told) in told.iter().enumerate() {
+            for (from, report) in sent.iter().enumerate() {
                 let is_lost =
-                    self.course.loss > 0 && self.rng.random_range(0..self.course.loss) == 0;
+                    self.scenario.loss > 0 && self.rng.random_range(0..self.scenario.loss) == 0;
                 if from != to && !is_lost {
-                    process.told[from] = Some(*told);
-                    process.known_era = process.known_era.max(told.era);
+                    process.reports[from] = Some(*report);
+                    process.known_era = process.known_era.max(report.era);
                 }
             }
         }
@@ -196,14 +197,14 @@
     fn advance(&mut self, index: usize) {
         let (now, rank) = (self.now, self.rank(index));
         self.catch_up(index);
-        self.list_anew(index);
+        self.list_again(index);
         let others = self.others_age(index);
-        let own = self.processes[index].heard.map(|heard| now - heard);
+        let own = self.processes[index].answered_at.map(|answered_at| now - answered_at);
         let age = others.into_iter().chain(own).min();
         let max_age = millis(self.processes[index].schedule.max_age(rank));
         let is_too_old = age.is_none_or(|age| age > max_age);
-        let is_silent = self.course.is_silent(now);
-        let is_cut = self.course.dead_connections.iter().any(|at| (now - STEP..now).contains(at));
+        let is_silent = self.scenario.is_silent(now);
+        let is_cut = self.scenario.dead_connections.iter().any(|at| (now - STEP..now).contains(at));
         let process = &mut self.processes[index];
         let Some(call) = &mut process.call else {
             if now >= process.next_call {
@@ -213,7 +214,7 @@
                     wait: if process.is_listing { 0 } else { millis(process.schedule.wait(rank)) },
                     answer_timeout: millis(process.schedule.answer_timeout()),
                     after: process.version,
-                    is_taken: false,
+                    is_received: false,
                     is_lost: false,
                 });
             }
@@ -222,16 +223,16 @@
         let due = now >= call.sent + call.wait + ROUND_TRIP;
         call.is_lost |= is_cut;
         if is_silent && now >= call.sent + ROUND_TRIP / 2 {
-            call.is_lost |= !call.is_taken || due;
+            call.is_lost |= !call.is_received || due;
         }
-        call.is_taken |= now >= call.sent + ROUND_TRIP / 2;
-        let has_news = self.version > call.after && now >= call.sent + ROUND_TRIP;
-        if !call.is_lost && !is_silent && (has_news || due) {
-            let pause = if has_news { PAUSE } else { 0 };
+        call.is_received |= now >= call.sent + ROUND_TRIP / 2;
+        let has_changes = self.version > call.after && now >= call.sent + ROUND_TRIP;
+        if !call.is_lost && !is_silent && (has_changes || due) {
+            let pause = if has_changes { PAUSE } else { 0 };
             process.call = None;
             process.next_call = now + pause;
-            process.heard = Some(now);
-            process.known_era = process.known_era.max(self.course.era(now));
+            process.answered_at = Some(now);
+            process.known_era = process.known_era.max(self.scenario.era(now));
             if std::mem::take(&mut process.is_listing) {
                 process.listed_at.resize(process.known_era as usize + 1, now);
             }
@@ -248,11 +249,12 @@
         }
     }
 
-    /// In a newer era than it has listed in, it lists as its turn comes.
-    fn list_anew(&mut self, index: usize) {
+    /// Schedules a list of a process that knows of a newer era than it has listed in.
+    fn list_again(&mut self, index: usize) {
         let (now, rank) = (self.now, self.rank(index));
-        let told = &self.processes[index].told;
-        let others = told.iter().flatten().filter(|told| now - told.at < LAPSE).count();
+        let reports = &self.processes[index].reports;
+        let others =
+            reports.iter().flatten().filter(|report| now - report.at < REPORT_EXPIRY).count();
         let process = &mut self.processes[index];
         let is_listed = process.listed_at.len() as u64 > process.known_era;
         if !is_listed && !process.is_listing {
@@ -262,43 +264,48 @@
         }
     }
 
-    /// When the last process had listed in an era; nothing if one never did.
+    /// Returns when the last process had listed in an era; none if one never did.
     pub fn listed_everywhere(&self, era: usize) -> Option<u64> {
         let listed = self.processes.iter().map(|process| process.listed_at.get(era).copied());
         listed.collect::<Option<Vec<u64>>>()?.into_iter().max()
     }
 
-    /// Takes what another process knows, a while after it is heard to know more.
+    /// Fetches a higher version from another process, some time after its report.
     fn catch_up(&mut self, index: usize) {
         let now = self.now;
         let process = &mut self.processes[index];
-        let live = process.told.iter().flatten().filter(|told| now - told.at < LAPSE);
+        let live =
+            process.reports.iter().flatten().filter(|report| now - report.at < REPORT_EXPIRY);
         let ahead =
-            live.map(|told| told.version).max().filter(|version| *version > process.version);
+            live.map(|report| report.version).max().filter(|version| *version > process.version);
         let Some(version) = ahead else {
             process.behind_since = None;
             return;
         };
         let since = *process.behind_since.get_or_insert(now);
-        if now - since >= BEHIND_PATIENCE + FETCH_TIME {
+        if now - since >= MAX_BEHIND + FETCH_TIME {
             learn(process, version, now);
             process.behind_since = None;
         }
     }
 
     fn rank(&self, index: usize) -> Rank {
-        let heard = |told: &Option<Told>| told.is_some_and(|told| self.now - told.at < LAPSE);
-        let told = &self.processes[index].told;
-        told[..index].iter().filter(|told| heard(told)).count() as Rank
+        let is_current = |report: &Option<Report>| {
+            report.is_some_and(|report| self.now - report.at < REPORT_EXPIRY)
+        };
+        let reports = &self.processes[index].reports;
+        reports[..index].iter().filter(|report| is_current(report)).count() as Rank
     }
 
-    /// How old the knowledge is of the others that a process hears and that know no more.
+    /// Returns the age of the most recent data of the others that are in contact and know no higher version.
     fn others_age(&self, index: usize) -> Option<u64> {
         let process = &self.processes[index];
-        let live = process.told.iter().flatten().filter(|told| self.now - told.at < LAPSE);
-        let told =
-            live.filter(|told| told.version <= process.version).filter_map(|told| told.heard);
-        Some(self.now - told.max()?)
+        let live =
+            process.reports.iter().flatten().filter(|report| self.now - report.at < REPORT_EXPIRY);
+        let answers = live
+            .filter(|report| report.version <= process.version)
+            .filter_map(|report| report.answered_at);
+        Some(self.now - answers.max()?)
     }
 }
 
--- a/crates/core/tests/store_watch/main.rs
+++ b/crates/core/tests/store_watch/main.rs
@@ -1,4 +1,4 @@
-//! When processes ask the store: rules of the schedule one by one, and a small fleet on simulated time.
+//! Calls of processes to the store: single rules of the schedule, and a small fleet on simulated time.
 
 mod eras;
 mod fleet;
--- a/crates/core/tests/store_watch/schedule.rs
+++ b/crates/core/tests/store_watch/schedule.rs
@@ -32,16 +32,16 @@
 }
 
 #[test]
-fn patience_grows_with_calls_without_an_answer_and_is_bounded() {
+fn the_answer_timeout_grows_with_unanswered_calls_and_is_bounded() {
     let mut schedule = schedule();
-    let mut answer_timeout = Vec::new();
+    let mut answer_timeouts = Vec::new();
     for _ in 0..4 {
-        answer_timeout.push(schedule.answer_timeout().as_millis());
+        answer_timeouts.push(schedule.answer_timeout().as_millis());
         schedule.on_failure();
     }
     schedule.on_answer();
 
-    assert_eq!(answer_timeout, [500, 1_000, 1_500, 1_500]);
+    assert_eq!(answer_timeouts, [500, 1_000, 1_500, 1_500]);
     assert_eq!(schedule.answer_timeout().as_millis(), 500);
 }
 
@@ -58,25 +58,26 @@
 }
 
 #[test]
-fn a_process_that_the_store_turns_away_does_not_hurry_while_others_tell_it_all() {
+fn a_refused_process_retries_slowly_while_others_report_recent_data() {
     let mut schedule = schedule();
     for _ in 0..20 {
         schedule.on_failure();
     }
 
-    let told = schedule.retry_in(0, Some(INTERVAL));
-    let untold = schedule.retry_in(0, Some(INTERVAL * 3));
+    let informed = schedule.retry_in(0, Some(INTERVAL));
+    let uninformed = schedule.retry_in(0, Some(INTERVAL * 3));
 
-    assert_eq!((told.as_millis(), untold.as_millis()), (1_000, 250));
+    assert_eq!((informed.as_millis(), uninformed.as_millis()), (1_000, 250));
 }
 
 #[test]
-fn each_process_in_turn_leaves_it_longer_to_the_others_to_ask() {
+fn the_maximum_age_grows_with_the_rank_up_to_a_bound() {
     let schedule = schedule();
 
-    let max_age: Vec<u128> = [0, 1, 5, 400].map(|rank| schedule.max_age(rank).as_millis()).to_vec();
+    let max_ages: Vec<u128> =
+        [0, 1, 5, 400].map(|rank| schedule.max_age(rank).as_millis()).to_vec();
 
-    assert_eq!(max_age, [1_800, 1_900, 2_300, 2_800]);
+    assert_eq!(max_ages, [1_800, 1_900, 2_300, 2_800]);
 }
 
 #[test]
