--- a/crates/core/src/process/membership/message_handlers.rs
+++ b/crates/core/src/process/membership/message_handlers.rs
@@ -23,16 +23,16 @@
         self.record_contact(from);
         match message {
             FleetMessage::Ping { number, gossip } => {
-                self.take(from, &gossip);
+                self.merge_gossip(from, &gossip);
                 let (of, gossip) = (self.me, self.gossip_for(from.incarnation));
                 self.send(from.addr, FleetMessage::Ack { number, of, gossip });
             }
             FleetMessage::Ack { number, of, gossip } => {
-                self.take(from, &gossip);
+                self.merge_gossip(from, &gossip);
                 self.on_ack(number, of);
             }
             FleetMessage::PingFor { number, target, gossip } => {
-                self.take(from, &gossip);
+                self.merge_gossip(from, &gossip);
                 let number = self.probes.add_relayed(from, number);
                 let known = self.table.present_at(target).next();
                 let incarnation = known.map_or(0, |member| member.incarnation());
@@ -40,14 +40,14 @@
                 self.send(target, FleetMessage::Ping { number, gossip });
             }
             FleetMessage::Digest { digest, gossip } => {
-                self.take(from, &gossip);
+                self.merge_gossip(from, &gossip);
                 self.on_digest(from, &digest);
             }
             FleetMessage::Differences { digest, gossip } => {
                 self.on_differences(from, &digest, &gossip);
             }
             FleetMessage::Want { incarnations } => self.on_want(from, &incarnations),
-            FleetMessage::News { gossip } => self.take(from, &gossip),
+            FleetMessage::News { gossip } => self.merge_gossip(from, &gossip),
         }
     }
 
@@ -63,16 +63,16 @@
         }
     }
 
-    fn request_members(&mut self, whom: Peer, mut incarnations: Vec<Incarnation>) {
+    fn request_members(&mut self, to: Peer, mut incarnations: Vec<Incarnation>) {
         incarnations.truncate(MAX_WANTED);
-        self.send(whom.addr, FleetMessage::Want { incarnations });
+        self.send(to.addr, FleetMessage::Want { incarnations });
     }
 
     fn on_ack(&mut self, number: u64, of: Peer) {
         if let Some(relayed) = self.probes.take_relayed(number) {
-            let gossip = self.gossip_for(relayed.asker.incarnation);
+            let gossip = self.gossip_for(relayed.requester.incarnation);
             let answer = FleetMessage::Ack { number: relayed.number, of, gossip };
-            return self.send(relayed.asker.addr, answer);
+            return self.send(relayed.requester.addr, answer);
         }
         let Some(probe) = self.probes.finish(number) else { return };
         let target = probe.target;
@@ -86,12 +86,12 @@
         let differing = self.table.differing(theirs);
         let briefs = differing.iter().map(|member| Rumor::Brief(Brief::new(member)));
         let briefs: Vec<Rumor> = briefs.collect();
-        self.fill(&mut gossip, briefs, MAX_DIFFERENCES_BYTES);
+        self.add_rumors(&mut gossip, briefs, MAX_DIFFERENCES_BYTES);
         let digest = self.table.digest().clone();
         self.send(from.addr, FleetMessage::Differences { digest, gossip });
     }
 
-    /// Merges the members that differ and sends those that the sender does not know or knows an older state of.
+    /// Merges the members that differ and sends back those that the sender lacks or holds in an older state.
     fn on_differences(&mut self, from: Peer, theirs: &Digest, gossip: &Gossip) {
         let known_ranks: BTreeMap<_, _> =
             gossip.rumors.iter().map(|rumor| (rumor.incarnation(), rumor.rank())).collect();
@@ -100,17 +100,17 @@
         };
         let differing = self.table.differing(theirs).into_iter().filter(is_newer);
         let briefs: Vec<Rumor> = differing.map(|member| Rumor::Brief(Brief::new(member))).collect();
-        self.take(from, gossip);
+        self.merge_gossip(from, gossip);
         if briefs.is_empty() {
             return;
         }
         let mut gossip = Gossip::default();
-        self.fill(&mut gossip, briefs, MAX_DIFFERENCES_BYTES);
+        self.add_rumors(&mut gossip, briefs, MAX_DIFFERENCES_BYTES);
         self.send(from.addr, FleetMessage::News { gossip });
     }
 
     /// Adds rumors up to `max_bytes`. Starts at a random one, so that none is always left out.
-    fn fill(&mut self, gossip: &mut Gossip, mut rumors: Vec<Rumor>, max_bytes: usize) {
+    fn add_rumors(&mut self, gossip: &mut Gossip, mut rumors: Vec<Rumor>, max_bytes: usize) {
         if rumors.is_empty() {
             return;
         }
@@ -132,12 +132,12 @@
         let known = wanted.filter_map(|incarnation| self.table.get(*incarnation));
         let rumors: Vec<Rumor> = known.map(|member| Rumor::Whole(Member::clone(member))).collect();
         let mut gossip = Gossip::default();
-        self.fill(&mut gossip, rumors, MAX_SYNC_BYTES);
+        self.add_rumors(&mut gossip, rumors, MAX_SYNC_BYTES);
         self.send(from.addr, FleetMessage::News { gossip });
     }
 
     /// Merges gossip; requests members that were reported as a `Brief` of an unknown incarnation or profile.
-    fn take(&mut self, from: Peer, gossip: &Gossip) {
+    fn merge_gossip(&mut self, from: Peer, gossip: &Gossip) {
         let now = self.clock.now();
         self.pulses.merge(&gossip.pulses, now);
         let mut wanted = Vec::new();
--- a/crates/core/src/process/membership/probes.rs
+++ b/crates/core/src/process/membership/probes.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RelayedPing {
     /// The process that requested it.
-    pub asker: Peer,
+    pub requester: Peer,
     /// The number of its probe.
     pub number: u64,
 }
@@ -73,13 +73,13 @@
         self.pending.insert(number, Probe { deadline, indirect: true, ..probe });
     }
 
-    /// Records a ping on behalf of `asker` and returns the number under which this process sends it.
-    pub fn add_relayed(&mut self, asker: Peer, number: u64) -> u64 {
+    /// Records a ping on behalf of `requester` and returns the number under which this process sends it.
+    pub fn add_relayed(&mut self, requester: Peer, number: u64) -> u64 {
         if self.relayed.len() == MAX_RELAYED {
             self.relayed.pop_front();
         }
         let own = self.new_number();
-        self.relayed.push_back((own, RelayedPing { asker, number }));
+        self.relayed.push_back((own, RelayedPing { requester, number }));
         own
     }
 
--- a/crates/core/src/process/membership/state.rs
+++ b/crates/core/src/process/membership/state.rs
@@ -209,13 +209,13 @@
         }
     }
 
-    /// Returns random present members of the own place, without this process and `but`.
-    pub(super) fn some_in_place(&mut self, count: usize, but: Incarnation) -> Vec<Peer> {
+    /// Returns random present members of the own place, without this process and `except`.
+    pub(super) fn some_in_place(&mut self, count: usize, except: Incarnation) -> Vec<Peer> {
         let me = self.me.incarnation;
         let others = self.table.members().values().filter(|member| {
             member.is_present()
                 && member.fact.place == self.place
-                && ![me, but].contains(&member.incarnation())
+                && ![me, except].contains(&member.incarnation())
         });
         others.map(|member| member.fact.peer).sample(&mut self.rng, count)
     }
--- a/crates/core/tests/store_watch/fleet.rs
+++ b/crates/core/tests/store_watch/fleet.rs
@@ -172,7 +172,7 @@
         {
             return;
         }
-        let sent: Vec<Report> = self
+        let snapshots: Vec<Report> = self
             .processes
             .iter()
             .map(|process| Report {
@@ -183,7 +183,7 @@
             })
             .collect();
         for (to, process) in self.processes.iter_mut().enumerate() {
-            for (from, report) in sent.iter().enumerate() {
+            for (from, report) in snapshots.iter().enumerate() {
                 let is_lost =
                     self.scenario.loss > 0 && self.rng.random_range(0..self.scenario.loss) == 0;
                 if from != to && !is_lost {
