--- a/crates/gateway/src/process/store/watcher.rs
+++ b/crates/gateway/src/process/store/watcher.rs
@@ -85,7 +85,7 @@
     async fn step(&mut self) -> Result<(), StoreError> {
         self.gateway.counters.add(Count::StoreCalls);
         self.sent_at = Instant::now();
-        let store = self.store.with_head_limit(self.schedule.patience());
+        let store = self.store.with_head_limit(self.schedule.answer_timeout());
         let Some(at) = self.at else {
             let listing = store.list(self.kind).await?;
             self.gateway.counters.store_call.record(self.sent_at.elapsed());
@@ -97,7 +97,7 @@
             changes = store.watch(self.kind, at, wait) => changes?,
             () = self.watch_suspected(), if !wait.is_zero() => {
                 self.gateway.counters.add(Count::WatchesDoubted);
-                self.schedule.on_doubt();
+                self.schedule.on_suspicion();
                 return Ok(());
             }
             () = self.gateway.newer_era(at.era) => return Ok(()),
@@ -140,7 +140,7 @@
     /// Returns whether the knowledge of the store is too old to rely on, across all live gateways.
     pub(super) fn is_too_old(&self) -> bool {
         let age = self.gateway.knowledge_age(self.kind, Instant::now());
-        age.is_none_or(|age| age > self.schedule.oldest(self.rank()))
+        age.is_none_or(|age| age > self.schedule.max_age(self.rank()))
     }
 
     async fn on_listing(&mut self, listing: Listing) -> Result<(), StoreError> {
