--- a/crates/bench/benches/run_once/load.rs
+++ b/crates/bench/benches/run_once/load.rs
@@ -5,8 +5,8 @@
 use hdrhistogram::Histogram;
 use rand::RngExt;
 use sorrellock_core::process::ledger::{
-    Answered, Claim, ClaimAnswer, HolderConfig, HolderCounts, SHARDS, Stamp, StartTable,
-    StartVerdict, Told, shard_of,
+    Answered, Claim, ClaimAnswer, HolderConfig, HolderCounts, RecordStatus, SHARDS, Stamp,
+    StartTable, StartVerdict, shard_of,
 };
 use sorrellock_core::request::Peer;
 use sorrellock_fakes::FakePlatform;
@@ -204,8 +204,8 @@
     fn ask(&mut self, open: Open, sequence: u64, stamp: &Stamp, target: Peer) {
         let table = self.besides.entry(target).or_insert_with(|| StartTable::new(65_536, 1 << 24));
         match table.ask(stamp, true, sequence) {
-            Told::Ended(run) if self.runs.get(stamp) == Some(&run) => self.replayed += 1,
-            Told::Tombstoned => {
+            RecordStatus::Ended(run) if self.runs.get(stamp) == Some(&run) => self.replayed += 1,
+            RecordStatus::Tombstoned => {
                 self.send(sequence, Claim { after: stamp.attempt, ..open.claim });
             }
             _ => self.unexplained += 1,
--- a/crates/core/src/process/ledger/keyed_run.rs
+++ b/crates/core/src/process/ledger/keyed_run.rs
@@ -1,6 +1,6 @@
 //! One request with a key on its way through the ledger, at its entry.
 
-use super::{Claim, ClaimAnswer, Fingerprint, RecordKey, Stamp, Told};
+use super::{Claim, ClaimAnswer, Fingerprint, RecordKey, RecordStatus, Stamp};
 use crate::id::Attempt;
 use crate::request::{NotRun, Peer, Refusal, RequestKey, Unknown};
 use std::time::Duration;
@@ -190,23 +190,23 @@
     }
 
     /// Takes what the daemon tells of the record that it was asked for.
-    pub fn on_told<A>(&mut self, stamp: &Stamp, told: &Told<A>) -> KeyedStep {
+    pub fn on_told<A>(&mut self, stamp: &Stamp, told: &RecordStatus<A>) -> KeyedStep {
         if !self.waits_for(stamp) {
             return KeyedStep::Drop;
         }
         self.unreached = 0;
         match told {
-            Told::Ended(_) => self.end(KeyedStep::Finish),
-            Told::Running => self.follow(*stamp),
-            Told::NotSeen => KeyedStep::Wait,
-            Told::Tombstoned => {
+            RecordStatus::Ended(_) => self.end(KeyedStep::Finish),
+            RecordStatus::Running => self.follow(*stamp),
+            RecordStatus::NotSeen => KeyedStep::Wait,
+            RecordStatus::Tombstoned => {
                 self.after = stamp.attempt;
                 self.choose_again(Proof::Tombstoned)
             }
-            Told::AnswerDropped => {
+            RecordStatus::AnswerDropped => {
                 self.unknown("it ran before, and its answer is kept no longer".to_owned())
             }
-            Told::Forgotten => {
+            RecordStatus::Forgotten => {
                 let target = self.target_name();
                 self.unknown(format!("whether it ran at {target} is remembered no longer"))
             }
--- a/crates/core/src/process/ledger/start_table.rs
+++ b/crates/core/src/process/ledger/start_table.rs
@@ -25,7 +25,7 @@
 
 /// What a daemon says of a record that it is asked for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Told<A> {
+pub enum RecordStatus<A> {
     /// It waits or runs; whoever asked hears of its end.
     Running,
     /// It ended, with this answer.
@@ -127,30 +127,30 @@
     }
 
     /// Tells of a record. With `fence`, one that was not seen yet will never start.
-    pub fn ask(&mut self, stamp: &Stamp, fence: bool, follower: F) -> Told<A> {
+    pub fn ask(&mut self, stamp: &Stamp, fence: bool, follower: F) -> RecordStatus<A> {
         match self.started.get_mut(&stamp.key) {
-            Some(known) if known.base > stamp.base => return Told::Tombstoned,
+            Some(known) if known.base > stamp.base => return RecordStatus::Tombstoned,
             Some(known) if known.base == stamp.base => match &mut known.state {
                 State::Running(followers) => {
                     if followers.len() < MAX_FOLLOWERS && !followers.contains(&follower) {
                         followers.push(follower);
                     }
-                    return Told::Running;
+                    return RecordStatus::Running;
                 }
-                State::Ended(Some(answer)) => return Told::Ended(answer.clone()),
-                State::Ended(None) => return Told::AnswerDropped,
-                State::Refused => return Told::Tombstoned,
+                State::Ended(Some(answer)) => return RecordStatus::Ended(answer.clone()),
+                State::Ended(None) => return RecordStatus::AnswerDropped,
+                State::Refused => return RecordStatus::Tombstoned,
             },
             _ => {}
         }
         if stamp.base < of_shard(&self.forgotten, stamp.shard) {
-            return Told::Forgotten;
+            return RecordStatus::Forgotten;
         }
         if fence {
             self.raise_fence(stamp);
         }
         let fenced = stamp.base < of_shard(&self.fences, stamp.shard);
-        if fenced { Told::Tombstoned } else { Told::NotSeen }
+        if fenced { RecordStatus::Tombstoned } else { RecordStatus::NotSeen }
     }
 
     /// How many records and bytes of answers it holds.
--- a/crates/core/tests/ledger/entries.rs
+++ b/crates/core/tests/ledger/entries.rs
@@ -4,7 +4,7 @@
 use crate::oracle::{Final, Oracle};
 use sorrellock_core::id::{Incarnation, Sequence};
 use sorrellock_core::process::ledger::{
-    Claim, Fingerprint, KeyedRun, KeyedStep, RecordKey, Stamp, Told, shard_of,
+    Claim, Fingerprint, KeyedRun, KeyedStep, RecordKey, RecordStatus, Stamp, shard_of,
 };
 use sorrellock_core::request::{Peer, Refusal, RequestKey};
 use std::collections::BTreeMap;
@@ -66,7 +66,7 @@
                 (owner, self.with(owner, |run| run.on_end(&stamp)), number)
             }
             Msg::Told { owner, stamp, told } => {
-                let number = if let Told::Ended(number) = told { number } else { 0 };
+                let number = if let RecordStatus::Ended(number) = told { number } else { 0 };
                 (owner, self.with(owner, |run| run.on_told(&stamp, &told)), number)
             }
             Msg::Gone { owner, stamp } => (owner, self.with(owner, |run| run.on_gone(&stamp)), 0),
--- a/crates/core/tests/ledger/net.rs
+++ b/crates/core/tests/ledger/net.rs
@@ -1,7 +1,7 @@
 //! The messages of the model.
 
 use sorrellock_core::id::{Attempt, Incarnation};
-use sorrellock_core::process::ledger::{Claim, ClaimAnswer, Stamp, Told};
+use sorrellock_core::process::ledger::{Claim, ClaimAnswer, RecordStatus, Stamp};
 use sorrellock_core::request::{Peer, RequestKey};
 use std::net::SocketAddr;
 
@@ -16,7 +16,7 @@
     Refused { owner: RequestKey, stamp: Stamp },
     End { owner: RequestKey, stamp: Stamp, run: RunNumber },
     Ask { owner: RequestKey, stamp: Stamp, fence: bool },
-    Told { owner: RequestKey, stamp: Stamp, told: Told<RunNumber> },
+    Told { owner: RequestKey, stamp: Stamp, told: RecordStatus<RunNumber> },
     Gone { owner: RequestKey, stamp: Stamp },
 }
 
--- a/crates/core/tests/ledger/tables.rs
+++ b/crates/core/tests/ledger/tables.rs
@@ -1,7 +1,7 @@
 //! The tables of a daemon: what was started or refused is never started again.
 
 use sorrellock_core::process::ledger::{
-    SeenRequests, SeenVerdict, Stamp, StartTable, StartVerdict, Told, record_key,
+    RecordStatus, SeenRequests, SeenVerdict, Stamp, StartTable, StartVerdict, record_key,
 };
 use sorrellock_core::request::RequestKey;
 
@@ -31,7 +31,7 @@
     table.refuse(&stamp("a", 1, 5));
 
     assert_eq!(table.start(&stamp("a", 1, 5)), StartVerdict::Repeated);
-    assert_eq!(table.ask(&stamp("a", 1, 5), false, 0), Told::Tombstoned);
+    assert_eq!(table.ask(&stamp("a", 1, 5), false, 0), RecordStatus::Tombstoned);
     assert_eq!(table.start(&stamp("a", 2, 9)), StartVerdict::Start);
 }
 
@@ -42,11 +42,11 @@
 
     let told = table.ask(&stamp("a", 1, 5), true, 0);
 
-    assert_eq!(told, Told::Tombstoned);
+    assert_eq!(told, RecordStatus::Tombstoned);
     assert_eq!(table.start(&stamp("a", 1, 5)), StartVerdict::Fenced);
     assert_eq!(table.start(&stamp("b", 1, 4)), StartVerdict::Fenced);
     assert_eq!(table.start(&stamp("c", 1, 6)), StartVerdict::Start);
-    assert_eq!(table.ask(&stamp("running", 1, 3), true, 0), Told::Running);
+    assert_eq!(table.ask(&stamp("running", 1, 3), true, 0), RecordStatus::Running);
 }
 
 #[test]
@@ -55,7 +55,7 @@
 
     let told = table.ask(&stamp("a", 1, 5), false, 0);
 
-    assert_eq!(told, Told::NotSeen);
+    assert_eq!(told, RecordStatus::NotSeen);
     assert_eq!(table.start(&stamp("a", 1, 5)), StartVerdict::Start);
 }
 
@@ -69,7 +69,7 @@
     let followers = table.end(&stamp("a", 1, 5), "answer", 6);
 
     assert_eq!(followers, [7]);
-    assert_eq!(table.ask(&stamp("a", 1, 5), false, 8), Told::Ended("answer"));
+    assert_eq!(table.ask(&stamp("a", 1, 5), false, 8), RecordStatus::Ended("answer"));
 }
 
 #[test]
@@ -82,7 +82,7 @@
     }
 
     assert_eq!(table.size(), (3, 6));
-    assert_eq!(table.ask(&stamp("a", 1, 5), true, 0), Told::AnswerDropped);
+    assert_eq!(table.ask(&stamp("a", 1, 5), true, 0), RecordStatus::AnswerDropped);
     assert_eq!(table.start(&stamp("a", 1, 5)), StartVerdict::Repeated);
 }
 
@@ -95,7 +95,7 @@
         table.end(&stamp(key, 1, base), "answer", 6);
     }
 
-    assert_eq!(table.ask(&stamp("a", 1, 5), true, 0), Told::Forgotten);
+    assert_eq!(table.ask(&stamp("a", 1, 5), true, 0), RecordStatus::Forgotten);
     assert_eq!(table.start(&stamp("a", 1, 5)), StartVerdict::Forgotten);
 }
 
@@ -118,8 +118,8 @@
     let late = table.start(&stamp("a", 1, 5));
 
     assert_eq!(late, StartVerdict::Fenced);
-    assert_eq!(table.ask(&stamp("a", 1, 5), false, 0), Told::Tombstoned);
-    assert_eq!(table.ask(&stamp("a", 2, 9), false, 0), Told::Running);
+    assert_eq!(table.ask(&stamp("a", 1, 5), false, 0), RecordStatus::Tombstoned);
+    assert_eq!(table.ask(&stamp("a", 2, 9), false, 0), RecordStatus::Running);
 }
 
 #[test]
--- a/crates/daemon/src/beside/process/starts.rs
+++ b/crates/daemon/src/beside/process/starts.rs
@@ -3,7 +3,7 @@
 use crate::beside::process::Outbox;
 use crate::process::{Count, Counters};
 use sorrellock_core::process::ledger::{
-    SeenRequests, SeenVerdict, Stamp, StartTable, StartVerdict, Told,
+    RecordStatus, SeenRequests, SeenVerdict, Stamp, StartTable, StartVerdict,
 };
 use sorrellock_core::request::{Peer, Refusal, RequestKey};
 use sorrellock_wire::connection::Link;
@@ -113,7 +113,7 @@
             return self.end(entry, owner, &stamp, end);
         }
         self.driven.lock().unwrap().insert(stamp, entry.addr);
-        self.send(entry, LedgerMessage::Told { owner, stamp, told: Told::Running });
+        self.send(entry, LedgerMessage::Told { owner, stamp, told: RecordStatus::Running });
     }
 
     /// The link to a process closed: the end of what an entry there drives may never be told.
--- a/crates/daemon/src/entry/process/keyed_calls.rs
+++ b/crates/daemon/src/entry/process/keyed_calls.rs
@@ -5,7 +5,7 @@
 use crate::entry::request::{Keyed, Problem};
 use crate::process::Count;
 use sorrellock_core::id::Sequence;
-use sorrellock_core::process::ledger::{Claim, KeyedRun, KeyedStep, Stamp, Told};
+use sorrellock_core::process::ledger::{Claim, KeyedRun, KeyedStep, RecordStatus, Stamp};
 use sorrellock_core::request::{Peer, Refusal, RequestKey, Unknown};
 use sorrellock_wire::connection::Link;
 use sorrellock_wire::message::{CallEnd, LedgerMessage};
@@ -123,12 +123,12 @@
         self.with_keyed(run, Some(Came { stamp, end }), |run| run.on_end(&stamp));
     }
 
-    fn on_told(&self, run: &Mutex<CallRun>, stamp: Stamp, told: Told<CallEnd>) {
+    fn on_told(&self, run: &Mutex<CallRun>, stamp: Stamp, told: RecordStatus<CallEnd>) {
         let came = match &told {
-            Told::Ended(end) => Some(Came { stamp, end: end.clone() }),
+            RecordStatus::Ended(end) => Some(Came { stamp, end: end.clone() }),
             _ => None,
         };
-        if told == Told::Running && self.begin_pipeline(run, &stamp) {
+        if told == RecordStatus::Running && self.begin_pipeline(run, &stamp) {
             return;
         }
         self.with_keyed(run, came, |run| run.on_told(&stamp, &told));
--- a/crates/wire/src/message/ledger.rs
+++ b/crates/wire/src/message/ledger.rs
@@ -3,7 +3,7 @@
 use crate::message::{CallEnd, CallRequest};
 use serde::{Deserialize, Serialize};
 use sorrellock_core::id::Attempt;
-use sorrellock_core::process::ledger::{Claim, ClaimAnswer, Stamp, Told};
+use sorrellock_core::process::ledger::{Claim, ClaimAnswer, RecordStatus, Stamp};
 use sorrellock_core::request::RequestKey;
 
 /// Messages of the run-once ledger.
@@ -67,7 +67,7 @@
         /// The record.
         stamp: Stamp,
         /// What became of it.
-        told: Told<CallEnd>,
+        told: RecordStatus<CallEnd>,
     },
     /// The answer of whoever listens there now, if that is another incarnation.
     Gone {
