--- a/crates/core/src/process/ledger/keyed_run.rs
+++ b/crates/core/src/process/ledger/keyed_run.rs
@@ -190,7 +190,7 @@
     }
 
     /// Takes what the daemon tells of the record that it was asked for.
-    pub fn on_told<A>(&mut self, stamp: &Stamp, told: &RecordStatus<A>) -> KeyedStep {
+    pub fn on_record_status<A>(&mut self, stamp: &Stamp, told: &RecordStatus<A>) -> KeyedStep {
         if !self.waits_for(stamp) {
             return KeyedStep::Drop;
         }
--- a/crates/core/tests/ledger/entries.rs
+++ b/crates/core/tests/ledger/entries.rs
@@ -67,7 +67,7 @@
             }
             Msg::Told { owner, stamp, told } => {
                 let number = if let RecordStatus::Ended(number) = told { number } else { 0 };
-                (owner, self.with(owner, |run| run.on_told(&stamp, &told)), number)
+                (owner, self.with(owner, |run| run.on_record_status(&stamp, &told)), number)
             }
             Msg::Gone { owner, stamp } => (owner, self.with(owner, |run| run.on_gone(&stamp)), 0),
             Msg::Claim { .. } | Msg::Run { .. } | Msg::Ask { .. } => return,
--- a/crates/daemon/src/entry/process/keyed_calls.rs
+++ b/crates/daemon/src/entry/process/keyed_calls.rs
@@ -37,7 +37,7 @@
                 self.with_keyed(&run, None, |run| run.on_claim_answer(after, answer));
             }
             LedgerMessage::End { stamp, end, .. } => self.on_run_end(&run, stamp, end),
-            LedgerMessage::Told { stamp, told, .. } => self.on_told(&run, stamp, told),
+            LedgerMessage::Told { stamp, told, .. } => self.on_record_status(&run, stamp, told),
             LedgerMessage::Gone { stamp, .. } => {
                 self.with_keyed(&run, None, |run| run.on_gone(&stamp));
             }
@@ -123,7 +123,7 @@
         self.with_keyed(run, Some(Came { stamp, end }), |run| run.on_end(&stamp));
     }
 
-    fn on_told(&self, run: &Mutex<CallRun>, stamp: Stamp, told: RecordStatus<CallEnd>) {
+    fn on_record_status(&self, run: &Mutex<CallRun>, stamp: Stamp, told: RecordStatus<CallEnd>) {
         let came = match &told {
             RecordStatus::Ended(end) => Some(Came { stamp, end: end.clone() }),
             _ => None,
@@ -131,7 +131,7 @@
         if told == RecordStatus::Running && self.begin_pipeline(run, &stamp) {
             return;
         }
-        self.with_keyed(run, came, |run| run.on_told(&stamp, &told));
+        self.with_keyed(run, came, |run| run.on_record_status(&stamp, &told));
     }
 
     fn with_keyed(
