--- a/crates/core/src/process/ledger/keyed_run.rs
+++ b/crates/core/src/process/ledger/keyed_run.rs
@@ -281,7 +281,7 @@
     }
 
     /// Gives up: not run if nothing that runs, or might, is known of the key; else unknown.
-    pub fn give_up(&mut self, refusal: Refusal, detail: &str) -> KeyedStep {
+    pub fn abandon(&mut self, refusal: Refusal, detail: &str) -> KeyedStep {
         match self.state {
             State::Choosing | State::Claiming { .. } => {
                 let not_run = self.not_run(refusal, detail);
--- a/crates/core/tests/ledger/entries.rs
+++ b/crates/core/tests/ledger/entries.rs
@@ -90,8 +90,8 @@
         self.act(owner, step, 0, cx);
     }
 
-    pub fn give_up(&mut self, owner: RequestKey, cx: &mut Around) {
-        let step = self.with(owner, |run| run.give_up(Refusal::Deadline, "the deadline passed"));
+    pub fn abandon(&mut self, owner: RequestKey, cx: &mut Around) {
+        let step = self.with(owner, |run| run.abandon(Refusal::Deadline, "the deadline passed"));
         self.act(owner, step, 0, cx);
     }
 
@@ -118,7 +118,7 @@
     fn choose(&mut self, owner: RequestKey, cx: &mut Around) {
         let Some(run) = self.runs.get_mut(&owner) else { return };
         if run.attempts_refused() >= MAX_ATTEMPTS {
-            let step = run.give_up(Refusal::Capacity, "no daemon takes it");
+            let step = run.abandon(Refusal::Capacity, "no daemon takes it");
             return self.act(owner, step, 0, cx);
         }
         let claim = run.claim(cx.chosen);
--- a/crates/core/tests/ledger/world.rs
+++ b/crates/core/tests/ledger/world.rs
@@ -82,7 +82,7 @@
             82..90 => self.wait_over(),
             90..92 => self.lose_link(),
             92..94 => self.holder_late(),
-            94..95 => self.give_up(),
+            94..95 => self.abandon(),
             95..98 => self.pause_or_wake(),
             98 => self.toggle_store(),
             _ => self.restart(),
@@ -257,9 +257,9 @@
         }
     }
 
-    fn give_up(&mut self) {
+    fn abandon(&mut self) {
         if let Some((at, owner)) = self.any_request() {
-            self.at_entry(at, |entry, cx| entry.give_up(owner, cx));
+            self.at_entry(at, |entry, cx| entry.abandon(owner, cx));
         }
     }
 
--- a/crates/daemon/src/entry/process/keyed_calls.rs
+++ b/crates/daemon/src/entry/process/keyed_calls.rs
@@ -75,7 +75,7 @@
                 run.daemon = daemon;
                 KeyedStep::Claim(claim)
             }
-            _ => keyed.run.give_up(Refusal::Capacity, "no endpoint takes it"),
+            _ => keyed.run.abandon(Refusal::Capacity, "no endpoint takes it"),
         };
         self.act(run, step, None);
     }
@@ -84,7 +84,7 @@
     pub(super) fn give_up_keyed(&self, mut run: Run<'_>, refusal: Refusal, detail: &str) {
         self.end_begun(&run, detail);
         let Some(keyed) = &mut run.keyed else { return };
-        match keyed.run.give_up(refusal, detail) {
+        match keyed.run.abandon(refusal, detail) {
             KeyedStep::Unknown(unknown) if refusal == Refusal::Deadline => {
                 self.fail(run, Problem { status: 504, ..unknown.into() });
             }
