--- a/crates/core/src/process/ledger/keyed_run.rs
+++ b/crates/core/src/process/ledger/keyed_run.rs
@@ -224,7 +224,7 @@
 
     /// The link to the daemon closed: ask what became of a run that was sent. A question that was
     /// under way may be lost.
-    pub fn on_lost(&mut self) -> KeyedStep {
+    pub fn on_link_lost(&mut self) -> KeyedStep {
         match self.state {
             State::Sent { stamp, target } => self.ask(stamp, target, true),
             State::Asking { .. } | State::Following { .. } => self.on_unreached(),
--- a/crates/core/tests/ledger/entries.rs
+++ b/crates/core/tests/ledger/entries.rs
@@ -81,7 +81,7 @@
     }
 
     pub fn link_lost(&mut self, owner: RequestKey, cx: &mut Around) {
-        let step = self.with(owner, KeyedRun::on_lost);
+        let step = self.with(owner, KeyedRun::on_link_lost);
         self.act(owner, step, 0, cx);
     }
 
--- a/crates/daemon/src/entry/process/keyed_calls.rs
+++ b/crates/daemon/src/entry/process/keyed_calls.rs
@@ -102,7 +102,7 @@
             }
             keyed.run.on_holder_lost()
         } else if keyed.run.target().is_some_and(|target| target.addr == peer) {
-            keyed.run.on_lost()
+            keyed.run.on_link_lost()
         } else {
             return;
         };
