--- a/crates/bench/benches/run_once/load.rs
+++ b/crates/bench/benches/run_once/load.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use rand::RngExt;
 use sorrellock_core::process::ledger::{
-    Answered, Claim, ClaimAnswer, HolderConfig, HolderCounts, RecordStatus, SHARDS, Stamp,
+    Claim, ClaimAnswer, ClaimReply, HolderConfig, HolderCounts, RecordStatus, SHARDS, Stamp,
     StartTable, StartVerdict, shard_of,
 };
 use sorrellock_core::request::Peer;
@@ -52,8 +52,8 @@
 pub struct Load {
     holders: Vec<Holders>,
     retired: Vec<HolderCounts>,
-    tx: Sender<(Instant, Answered)>,
-    rx: Receiver<(Instant, Answered)>,
+    tx: Sender<(Instant, ClaimReply)>,
+    rx: Receiver<(Instant, ClaimReply)>,
     open: BTreeMap<u64, Open>,
     besides: HashMap<Peer, StartTable<u64, u64>>,
     runs: HashMap<Stamp, u64>,
@@ -169,7 +169,7 @@
         }
     }
 
-    fn on_answer(&mut self, at: Instant, answered: Answered) {
+    fn on_answer(&mut self, at: Instant, answered: ClaimReply) {
         let sequence = answered.owner.sequence;
         let Some(open) = self.open.get(&sequence) else { return };
         if open.claim.after != answered.after {
--- a/crates/bench/benches/run_once/store.rs
+++ b/crates/bench/benches/run_once/store.rs
@@ -1,7 +1,7 @@
 //! The stand-in store, and holders on it.
 
 use sorrellock_core::id::Incarnation;
-use sorrellock_core::process::ledger::{Answered, Claim, HolderConfig, fingerprint, record_key};
+use sorrellock_core::process::ledger::{Claim, ClaimReply, HolderConfig, fingerprint, record_key};
 use sorrellock_core::request::{Peer, RequestKey};
 use sorrellock_daemon::process::ledger::{AnswerSink, LedgerHolders};
 use sorrellock_fakes::{FakePlatform, PlatformConfig};
@@ -17,10 +17,10 @@
 const RATES: (u32, u32) = (200, 2_000);
 
 /// Hands answers on with the instant at which they came.
-pub struct Answers(pub Sender<(Instant, Answered)>);
+pub struct Answers(pub Sender<(Instant, ClaimReply)>);
 
 impl AnswerSink for Answers {
-    fn answer(&self, answered: Answered) {
+    fn answer(&self, answered: ClaimReply) {
         let _ = self.0.send((Instant::now(), answered));
     }
 }
@@ -36,7 +36,7 @@
     platform: &FakePlatform,
     me: Incarnation,
     cfg: HolderConfig,
-    answers: &Sender<(Instant, Answered)>,
+    answers: &Sender<(Instant, ClaimReply)>,
 ) -> Holders {
     let store = HttpObjectStore::new(platform.addr()).with_timeout(Duration::from_secs(1));
     LedgerHolders::new(me, store, Answers(answers.clone()), cfg)
--- a/crates/core/src/process/ledger/holder/holder.rs
+++ b/crates/core/src/process/ledger/holder/holder.rs
@@ -23,7 +23,7 @@
 
 /// The answer to a claim, for the peer that sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answered {
+pub struct ClaimReply {
     /// Who sent the claim.
     pub to: Peer,
     /// Its owner.
@@ -75,7 +75,7 @@
     pub(super) loading: Option<Loading>,
     pub(super) prepared: Option<Prepared>,
     pub(super) waiting: VecDeque<Waiting>,
-    pub(super) answers: Vec<Answered>,
+    pub(super) answers: Vec<ClaimReply>,
     pub(super) upkeep: Upkeep,
     pub(super) archives_named: u32,
     /// The highest version of the head that is known to have been.
@@ -185,7 +185,7 @@
     }
 
     /// The answers to claims since the last call.
-    pub fn take_answers(&mut self) -> Vec<Answered> {
+    pub fn take_answers(&mut self) -> Vec<ClaimReply> {
         std::mem::take(&mut self.answers)
     }
 
@@ -228,7 +228,7 @@
     }
 
     pub(super) fn answer(&mut self, to: Peer, claim: &Claim, answer: ClaimAnswer) {
-        self.answers.push(Answered { to, owner: claim.owner, after: claim.after, answer });
+        self.answers.push(ClaimReply { to, owner: claim.owner, after: claim.after, answer });
     }
 
     pub(super) fn refuse(
--- a/crates/daemon/src/process/ledger/ledger_holders.rs
+++ b/crates/daemon/src/process/ledger/ledger_holders.rs
@@ -6,7 +6,7 @@
 use sorrellock_core::clock::SystemClock;
 use sorrellock_core::id::Incarnation;
 use sorrellock_core::process::ledger::{
-    Answered, Claim, Holder, HolderConfig, HolderCounts, SHARDS, Shard, shard_of,
+    Claim, ClaimReply, Holder, HolderConfig, HolderCounts, SHARDS, Shard, shard_of,
 };
 use sorrellock_core::request::Peer;
 use sorrellock_ports::api::ObjectStore;
@@ -22,8 +22,8 @@
 pub struct LinkSink<L>(Arc<L>);
 
 impl<L: Link> AnswerSink for LinkSink<L> {
-    fn answer(&self, answered: Answered) {
-        let Answered { to, owner, after, answer } = answered;
+    fn answer(&self, answered: ClaimReply) {
+        let ClaimReply { to, owner, after, answer } = answered;
         let message = LedgerMessage::Answer { owner, after, answer };
         let _ = self.0.send(to, Message::Ledger(message));
     }
--- a/crates/daemon/src/process/ledger/shard_driver.rs
+++ b/crates/daemon/src/process/ledger/shard_driver.rs
@@ -2,7 +2,7 @@
 
 use super::StoreCaller;
 use sorrellock_core::clock::{Clock, SystemClock};
-use sorrellock_core::process::ledger::{Answered, Claim, Holder, Next, UnixMs};
+use sorrellock_core::process::ledger::{Claim, ClaimReply, Holder, Next, UnixMs};
 use sorrellock_core::request::Peer;
 use sorrellock_ports::api::ObjectStore;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, Weak};
@@ -15,7 +15,7 @@
 /// Takes the answers of a holder to who claimed.
 pub trait AnswerSink: Send + Sync + 'static {
     /// Sends an answer.
-    fn answer(&self, answered: Answered);
+    fn answer(&self, answered: ClaimReply);
 }
 
 /// Drives the holder of one shard.
@@ -85,7 +85,7 @@
     fn wait(
         &self,
         holder: MutexGuard<'_, Holder<SystemClock>>,
-        answers: Vec<Answered>,
+        answers: Vec<ClaimReply>,
         wait: Duration,
     ) {
         if answers.is_empty() {
@@ -96,7 +96,7 @@
         self.send(answers);
     }
 
-    fn send(&self, answers: Vec<Answered>) {
+    fn send(&self, answers: Vec<ClaimReply>) {
         answers.into_iter().for_each(|answered| self.sink.answer(answered));
     }
 
