--- a/crates/core/src/process/ledger/holder/holder.rs
+++ b/crates/core/src/process/ledger/holder/holder.rs
@@ -62,7 +62,7 @@
 /// version of the head, and the loser reads on.
 ///
 /// It makes one call to the store at a time: the driver asks [`Holder::next`], makes the call and
-/// tells [`Holder::replied`].
+/// tells [`Holder::on_reply`].
 #[derive(Debug)]
 pub struct Holder<C> {
     pub(super) shard: Shard,
@@ -158,7 +158,7 @@
     }
 
     /// Takes the reply to the call that [`Holder::next`] asked for.
-    pub fn replied(&mut self, reply: StoreReply) {
+    pub fn on_reply(&mut self, reply: StoreReply) {
         let doing = std::mem::replace(&mut self.doing, Doing::Nothing);
         match reply {
             StoreReply::Down { detail } => return self.on_down(doing, &detail),
--- a/crates/core/tests/ledger/differential.rs
+++ b/crates/core/tests/ledger/differential.rs
@@ -86,7 +86,7 @@
     let mut dice = Dice::new(0);
     loop {
         match holder.next(0) {
-            Next::Call(call) => holder.replied(store.apply(&call, &mut dice, false)),
+            Next::Call(call) => holder.on_reply(store.apply(&call, &mut dice, false)),
             Next::WaitUntil(_) => clock.advance(Duration::from_millis(5)),
             Next::Idle => return,
         }
@@ -162,7 +162,7 @@
         let mut dice = Dice::new(0);
         loop {
             match holder.next(now_ms) {
-                Next::Call(call) => holder.replied(store.apply(&call, &mut dice, false)),
+                Next::Call(call) => holder.on_reply(store.apply(&call, &mut dice, false)),
                 Next::WaitUntil(_) => clock.advance(Duration::from_millis(20)),
                 Next::Idle => break,
             }
--- a/crates/core/tests/ledger/holders.rs
+++ b/crates/core/tests/ledger/holders.rs
@@ -93,7 +93,7 @@
             Some(Under { reply: Some(_), .. }) if faults && dice.percent(6) => {
                 self.lose_answer(shard);
             }
-            Some(Under { reply: Some(reply), .. }) => self.holders[shard].replied(reply),
+            Some(Under { reply: Some(reply), .. }) => self.holders[shard].on_reply(reply),
         }
     }
 
@@ -120,6 +120,6 @@
 
     fn lose_answer(&mut self, shard: usize) {
         let detail = "the model lost the answer".to_owned();
-        self.holders[shard].replied(StoreReply::NoAnswer { detail });
+        self.holders[shard].on_reply(StoreReply::NoAnswer { detail });
     }
 }
--- a/crates/daemon/src/process/ledger/shard_driver.rs
+++ b/crates/daemon/src/process/ledger/shard_driver.rs
@@ -69,7 +69,7 @@
                 self.send(answers);
                 let reply = self.store.call(&call);
                 let mut holder = self.holder();
-                holder.replied(reply);
+                holder.on_reply(reply);
                 let answers = holder.take_answers();
                 drop(holder);
                 self.send(answers);
