--- a/crates/core/src/process/ledger/holder/commit.rs
+++ b/crates/core/src/process/ledger/holder/commit.rs
@@ -1,7 +1,7 @@
 //! Committing claims: one conditional put of the head, after an archive where it is full.
 
 use super::holder::{Doing, Loaded};
-use super::{Holder, Next, PutWhen, StoreCall};
+use super::{Holder, Next, PutCondition, StoreCall};
 use crate::clock::Clock;
 use crate::id::Revision;
 use crate::process::ledger::{
@@ -71,7 +71,7 @@
     fn put_prepared(&mut self, prepared: Prepared) -> Next {
         let key = prepared.id.key(self.shard);
         let value = encode_batches(&prepared.moved);
-        let call = StoreCall::Put { key, value, when: PutWhen::Absent };
+        let call = StoreCall::Put { key, value, when: PutCondition::Absent };
         self.call(Doing::PutArchive(prepared), call)
     }
 
@@ -89,7 +89,7 @@
     pub(super) fn put_keys(&mut self, prepared: Prepared) -> Next {
         let key = prepared.id.index_key(self.shard);
         let value = encode_keys(&short_keys(&prepared.moved));
-        let call = StoreCall::Put { key, value, when: PutWhen::Absent };
+        let call = StoreCall::Put { key, value, when: PutCondition::Absent };
         self.call(Doing::PutKeys(prepared), call)
     }
 
@@ -104,8 +104,8 @@
         let base = loaded.version;
         head.batches.push(Batch { base, at_ms: now_ms, records: self.next_records() });
         let when = match base {
-            0 => PutWhen::Absent,
-            version => PutWhen::Version(version),
+            0 => PutCondition::Absent,
+            version => PutCondition::Version(version),
         };
         let call = StoreCall::Put { key: self.head_key(), value: head.encode(), when };
         self.call(Doing::PutHead(Box::new((head, prepared))), call)
--- a/crates/core/src/process/ledger/holder/store_call.rs
+++ b/crates/core/src/process/ledger/holder/store_call.rs
@@ -5,7 +5,7 @@
 
 /// When a put may take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PutWhen {
+pub enum PutCondition {
     /// Only if there is no such object.
     Absent,
     /// Only if the object is at this version.
@@ -27,7 +27,7 @@
         /// Its value.
         value: Vec<u8>,
         /// The condition.
-        when: PutWhen,
+        when: PutCondition,
     },
     /// Lists objects.
     List {
--- a/crates/core/tests/ledger/store.rs
+++ b/crates/core/tests/ledger/store.rs
@@ -2,7 +2,7 @@
 
 use crate::dice::Dice;
 use sorrellock_core::id::Revision;
-use sorrellock_core::process::ledger::{PutWhen, ReadObject, StoreCall, StoreReply};
+use sorrellock_core::process::ledger::{PutCondition, ReadObject, StoreCall, StoreReply};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -59,11 +59,11 @@
         last.filter(|(_, value)| value.is_some()).map_or(0, |(version, _)| *version)
     }
 
-    fn put(&mut self, key: &str, value: &[u8], when: PutWhen) -> StoreReply {
+    fn put(&mut self, key: &str, value: &[u8], when: PutCondition) -> StoreReply {
         let found = self.version(key);
         let holds = match when {
-            PutWhen::Absent => found == 0,
-            PutWhen::Version(version) => found == version,
+            PutCondition::Absent => found == 0,
+            PutCondition::Version(version) => found == version,
         };
         if !holds {
             return StoreReply::Conflict { found };
--- a/crates/daemon/src/process/ledger/store_caller.rs
+++ b/crates/daemon/src/process/ledger/store_caller.rs
@@ -1,6 +1,6 @@
 //! Makes a holder's calls to the platform's store.
 
-use sorrellock_core::process::ledger::{PutWhen, ReadObject, StoreCall, StoreReply};
+use sorrellock_core::process::ledger::{PutCondition, ReadObject, StoreCall, StoreReply};
 use sorrellock_ports::api::{ObjectStore, Precondition, StoreError};
 use std::sync::Arc;
 use std::thread;
@@ -57,10 +57,10 @@
     }
 }
 
-fn precondition(when: PutWhen) -> Precondition {
+fn precondition(when: PutCondition) -> Precondition {
     match when {
-        PutWhen::Absent => Precondition::Absent,
-        PutWhen::Version(version) => Precondition::Version(version),
+        PutCondition::Absent => Precondition::Absent,
+        PutCondition::Version(version) => Precondition::Version(version),
     }
 }
 
