--- a/crates/core/src/process/ledger/holder/commit.rs
+++ b/crates/core/src/process/ledger/holder/commit.rs
@@ -1,7 +1,7 @@
 //! Committing claims: one conditional put of the head, after an archive where it is full.
 
 use super::holder::{Doing, Loaded};
-use super::{Holder, Next, PutCondition, StoreCall};
+use super::{Holder, HolderStep, PutCondition, StoreCall};
 use crate::clock::Clock;
 use crate::id::Revision;
 use crate::process::ledger::{
@@ -25,8 +25,8 @@
 
 impl<C: Clock> Holder<C> {
     /// The next write: an archive if the head is full, else the head with the claims that wait.
-    pub(super) fn next_commit(&mut self, now_ms: UnixMs) -> Next {
-        let Some(loaded) = &self.loaded else { return Next::Idle };
+    pub(super) fn next_commit(&mut self, now_ms: UnixMs) -> HolderStep {
+        let Some(loaded) = &self.loaded else { return HolderStep::Idle };
         if self.waiting.is_empty() {
             return self.next_upkeep();
         }
@@ -41,7 +41,7 @@
             return self.put_merged();
         }
         self.refuse_full();
-        Next::Idle
+        HolderStep::Idle
     }
 
     fn name_archive(&mut self) -> ArchiveId {
@@ -49,18 +49,18 @@
         ArchiveId { writer: self.me, number: self.archives_named }
     }
 
-    fn put_archive(&mut self) -> Next {
+    fn put_archive(&mut self) -> HolderStep {
         let id = self.name_archive();
-        let Some(loaded) = &self.loaded else { return Next::Idle };
+        let Some(loaded) = &self.loaded else { return HolderStep::Idle };
         let moved = loaded.head.batches.clone();
         let mut head = Head { batches: Vec::new(), ..loaded.head.clone() };
         head.recent.push(archive_ref(id, &moved));
         self.put_prepared(Prepared { head, id, moved, merged: false })
     }
 
-    fn put_merged(&mut self) -> Next {
+    fn put_merged(&mut self) -> HolderStep {
         let id = self.name_archive();
-        let Some(loaded) = &self.loaded else { return Next::Idle };
+        let Some(loaded) = &self.loaded else { return HolderStep::Idle };
         let moved: Vec<Batch> = loaded.recent.iter().chain(&loaded.head.batches).cloned().collect();
         let mut merged = loaded.head.merged.clone();
         merged.push(archive_ref(id, &moved));
@@ -68,7 +68,7 @@
         self.put_prepared(Prepared { head, id, moved, merged: true })
     }
 
-    fn put_prepared(&mut self, prepared: Prepared) -> Next {
+    fn put_prepared(&mut self, prepared: Prepared) -> HolderStep {
         let key = prepared.id.key(self.shard);
         let value = encode_batches(&prepared.moved);
         let call = StoreCall::Put { key, value, when: PutCondition::Absent };
@@ -86,16 +86,16 @@
     }
 
     /// The short keys of a merged archive go beside it.
-    pub(super) fn put_keys(&mut self, prepared: Prepared) -> Next {
+    pub(super) fn put_keys(&mut self, prepared: Prepared) -> HolderStep {
         let key = prepared.id.index_key(self.shard);
         let value = encode_keys(&short_keys(&prepared.moved));
         let call = StoreCall::Put { key, value, when: PutCondition::Absent };
         self.call(Doing::PutKeys(prepared), call)
     }
 
-    fn put_head(&mut self, now_ms: UnixMs) -> Next {
+    fn put_head(&mut self, now_ms: UnixMs) -> HolderStep {
         let prepared = self.prepared.take();
-        let Some(loaded) = &self.loaded else { return Next::Idle };
+        let Some(loaded) = &self.loaded else { return HolderStep::Idle };
         let mut head = match &prepared {
             Some(prepared) => prepared.head.clone(),
             None => loaded.head.clone(),
--- a/crates/core/src/process/ledger/holder/holder.rs
+++ b/crates/core/src/process/ledger/holder/holder.rs
@@ -1,7 +1,8 @@
 //! The holder of a shard.
 
 use super::{
-    HolderConfig, HolderCounts, Loading, Next, Prepared, StoreCall, StoreReply, Upkeep, Waiting,
+    HolderConfig, HolderCounts, HolderStep, Loading, Prepared, StoreCall, StoreReply, Upkeep,
+    Waiting,
 };
 use crate::clock::Clock;
 use crate::id::{Attempt, Incarnation, Revision};
@@ -130,26 +131,30 @@
     }
 
     /// What to do next. `now_ms` is the time since the Unix epoch, for retention only.
-    pub fn next(&mut self, now_ms: UnixMs) -> Next {
+    pub fn next(&mut self, now_ms: UnixMs) -> HolderStep {
         if !matches!(self.doing, Doing::Nothing) {
-            return Next::Idle;
+            return HolderStep::Idle;
         }
         let now = self.clock.now();
         if let Some(until) = self.down_until.max(self.not_before).filter(|until| now < *until) {
-            return if self.waiting.is_empty() { Next::Idle } else { Next::WaitUntil(until) };
+            return if self.waiting.is_empty() {
+                HolderStep::Idle
+            } else {
+                HolderStep::WaitUntil(until)
+            };
         }
         self.refuse_overdue();
         if self.loaded.is_none() {
-            return if self.waiting.is_empty() { Next::Idle } else { self.next_load() };
+            return if self.waiting.is_empty() { HolderStep::Idle } else { self.next_load() };
         }
         if let Some(call) = self.settle(now_ms) {
-            return Next::Call(call);
+            return HolderStep::Call(call);
         }
         if self.loaded.is_none() {
             return self.next_load();
         }
         if let Some(at) = self.pacer.next().filter(|at| now < *at) {
-            return if self.has_work() { Next::WaitUntil(at) } else { Next::Idle };
+            return if self.has_work() { HolderStep::WaitUntil(at) } else { HolderStep::Idle };
         }
         if self.upkeep_first() {
             return self.next_upkeep();
@@ -214,13 +219,13 @@
         self.pacer.rate()
     }
 
-    pub(super) fn call(&mut self, doing: Doing, call: StoreCall) -> Next {
+    pub(super) fn call(&mut self, doing: Doing, call: StoreCall) -> HolderStep {
         if matches!(call, StoreCall::Put { .. } | StoreCall::Delete { .. }) {
             self.pacer.started();
             self.counts.writes += 1;
         }
         self.doing = doing;
-        Next::Call(call)
+        HolderStep::Call(call)
     }
 
     pub(super) fn head_key(&self) -> String {
--- a/crates/core/src/process/ledger/holder/load.rs
+++ b/crates/core/src/process/ledger/holder/load.rs
@@ -1,7 +1,7 @@
 //! Reading a shard: the head, then the archives that it refers to.
 
 use super::holder::{Doing, Loaded};
-use super::{Holder, Next, ReadObject, StoreCall};
+use super::{Holder, HolderStep, ReadObject, StoreCall};
 use crate::clock::Clock;
 use crate::id::Revision;
 use crate::process::ledger::{ArchiveId, Batch, Head, Index, decode_batches, decode_keys};
@@ -20,7 +20,7 @@
 }
 
 impl<C: Clock> Holder<C> {
-    pub(super) fn next_load(&mut self) -> Next {
+    pub(super) fn next_load(&mut self) -> HolderStep {
         let shard = self.shard;
         let Some(loading) = &mut self.loading else {
             self.counts.loads += 1;
--- a/crates/core/src/process/ledger/holder/settle.rs
+++ b/crates/core/src/process/ledger/holder/settle.rs
@@ -1,7 +1,7 @@
 //! Answering claims from what is known.
 
 use super::holder::Doing;
-use super::{Holder, Next, ReadObject, StoreCall};
+use super::{Holder, HolderStep, ReadObject, StoreCall};
 use crate::clock::Clock;
 use crate::process::ledger::{
     ArchiveId, Claim, ClaimAnswer, Found, Judgement, Known, UnixMs, decode_batches,
@@ -126,8 +126,8 @@
         self.counts.lookups += 1;
         let keys = archives.iter().map(|id| id.key(self.shard)).collect();
         match self.call(Doing::ReadOld(at), StoreCall::Read { keys }) {
-            Next::Call(call) => Some(call),
-            Next::WaitUntil(_) | Next::Idle => None,
+            HolderStep::Call(call) => Some(call),
+            HolderStep::WaitUntil(_) | HolderStep::Idle => None,
         }
     }
 
--- a/crates/core/src/process/ledger/holder/store_call.rs
+++ b/crates/core/src/process/ledger/holder/store_call.rs
@@ -81,7 +81,7 @@
 
 /// What the driver of a holder is to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum HolderStep {
     /// Make this call, and tell the holder its reply.
     Call(StoreCall),
     /// Come back at this instant, or after a new claim.
--- a/crates/core/src/process/ledger/holder/upkeep.rs
+++ b/crates/core/src/process/ledger/holder/upkeep.rs
@@ -1,7 +1,7 @@
 //! Upkeep of a shard's objects: what no head refers to is deleted.
 
 use super::holder::Doing;
-use super::{Holder, Next, Prepared, StoreCall};
+use super::{Holder, HolderStep, Prepared, StoreCall};
 use crate::clock::Clock;
 use crate::id::Revision;
 use crate::process::ledger::archive_prefix;
@@ -51,7 +51,7 @@
             || turn && (self.upkeep.list || !self.upkeep.litter.is_empty())
     }
 
-    pub(super) fn next_upkeep(&mut self) -> Next {
+    pub(super) fn next_upkeep(&mut self) -> HolderStep {
         if let Some(prepared) = self.upkeep.put_keys.take() {
             return self.put_keys(prepared);
         }
@@ -60,7 +60,7 @@
             let prefix = archive_prefix(self.shard);
             return self.call(Doing::List, StoreCall::List { prefix });
         }
-        let Some((key, version)) = self.upkeep.litter.pop_front() else { return Next::Idle };
+        let Some((key, version)) = self.upkeep.litter.pop_front() else { return HolderStep::Idle };
         self.upkeep.put_since_delete = 0;
         self.call(Doing::Delete, StoreCall::Delete { key, version })
     }
--- a/crates/core/tests/ledger/differential.rs
+++ b/crates/core/tests/ledger/differential.rs
@@ -5,7 +5,8 @@
 use sorrellock_core::clock::ManualClock;
 use sorrellock_core::id::Attempt;
 use sorrellock_core::process::ledger::{
-    Claim, ClaimAnswer, Fingerprint, Holder, HolderConfig, Next, RecordKey, fingerprint, record_key,
+    Claim, ClaimAnswer, Fingerprint, Holder, HolderConfig, HolderStep, RecordKey, fingerprint,
+    record_key,
 };
 use sorrellock_core::request::{Peer, RequestKey};
 use std::collections::HashMap;
@@ -86,9 +87,9 @@
     let mut dice = Dice::new(0);
     loop {
         match holder.next(0) {
-            Next::Call(call) => holder.on_reply(store.apply(&call, &mut dice, false)),
-            Next::WaitUntil(_) => clock.advance(Duration::from_millis(5)),
-            Next::Idle => return,
+            HolderStep::Call(call) => holder.on_reply(store.apply(&call, &mut dice, false)),
+            HolderStep::WaitUntil(_) => clock.advance(Duration::from_millis(5)),
+            HolderStep::Idle => return,
         }
     }
 }
@@ -162,9 +163,9 @@
         let mut dice = Dice::new(0);
         loop {
             match holder.next(now_ms) {
-                Next::Call(call) => holder.on_reply(store.apply(&call, &mut dice, false)),
-                Next::WaitUntil(_) => clock.advance(Duration::from_millis(20)),
-                Next::Idle => break,
+                HolderStep::Call(call) => holder.on_reply(store.apply(&call, &mut dice, false)),
+                HolderStep::WaitUntil(_) => clock.advance(Duration::from_millis(20)),
+                HolderStep::Idle => break,
             }
         }
         fate(holder.take_answers().remove(0).answer)
--- a/crates/core/tests/ledger/holders.rs
+++ b/crates/core/tests/ledger/holders.rs
@@ -6,7 +6,7 @@
 use sorrellock_core::clock::ManualClock;
 use sorrellock_core::id::Incarnation;
 use sorrellock_core::process::ledger::{
-    Claim, Holder, HolderConfig, HolderCounts, Next, StoreCall, StoreReply, shard_of,
+    Claim, Holder, HolderConfig, HolderCounts, HolderStep, StoreCall, StoreReply, shard_of,
 };
 use sorrellock_core::request::Peer;
 
@@ -78,7 +78,7 @@
     ) {
         match self.under[shard].take() {
             None => {
-                if let Next::Call(call) = self.holders[shard].next(now_ms) {
+                if let HolderStep::Call(call) = self.holders[shard].next(now_ms) {
                     self.under[shard] = Some(Under { call, reply: None });
                 }
             }
--- a/crates/daemon/src/process/ledger/shard_driver.rs
+++ b/crates/daemon/src/process/ledger/shard_driver.rs
@@ -2,7 +2,7 @@
 
 use super::StoreCaller;
 use sorrellock_core::clock::{Clock, SystemClock};
-use sorrellock_core::process::ledger::{Claim, ClaimReply, Holder, Next, UnixMs};
+use sorrellock_core::process::ledger::{Claim, ClaimReply, Holder, HolderStep, UnixMs};
 use sorrellock_core::request::Peer;
 use sorrellock_ports::api::ObjectStore;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, Weak};
@@ -64,7 +64,7 @@
         let next = holder.next(now_ms());
         let answers = holder.take_answers();
         match next {
-            Next::Call(call) => {
+            HolderStep::Call(call) => {
                 drop(holder);
                 self.send(answers);
                 let reply = self.store.call(&call);
@@ -74,11 +74,11 @@
                 drop(holder);
                 self.send(answers);
             }
-            Next::WaitUntil(at) => {
+            HolderStep::WaitUntil(at) => {
                 let wait = at.saturating_duration_since(SystemClock.now()).min(IDLE);
                 self.wait(holder, answers, wait);
             }
-            Next::Idle => self.wait(holder, answers, IDLE),
+            HolderStep::Idle => self.wait(holder, answers, IDLE),
         }
     }
 
