--- a/crates/core/src/process/ledger/holder/settle.rs
+++ b/crates/core/src/process/ledger/holder/claims.rs
@@ -1,37 +1,37 @@
-//! Answering claims from what is known.
+//! Answers to claims from the loaded state of the shard.
 
-use super::holder::Doing;
+use super::holder::PendingCall;
 use super::{Holder, HolderStep, ReadObject, StoreCall};
 use crate::clock::Clock;
 use crate::process::ledger::{
-    ArchiveId, Claim, ClaimAnswer, Found, Judgement, Known, UnixMs, decode_batches,
+    ArchiveId, Claim, ClaimAnswer, ClaimCheck, CommittedRecord, Lookup, UnixMs, decode_batches,
 };
 use crate::request::Peer;
 use std::time::{Duration, Instant};
 
-/// What old archives hold of the key of a waiting claim.
+/// The record of a waiting claim's key in the merged archives.
 #[derive(Clone, Debug)]
 pub(super) enum OldRecord {
-    /// They were not read for it.
+    /// The archives have not been read for the claim.
     NotRead,
-    /// They were read.
-    Read(Option<Known>),
+    /// The latest record in the archives, if there is one.
+    Read(Option<CommittedRecord>),
 }
 
-/// A claim that waits.
+/// A claim that waits for its answer.
 #[derive(Clone, Debug)]
-pub(super) struct Waiting {
+pub(super) struct WaitingClaim {
     pub(super) from: Peer,
     pub(super) claim: Claim,
     pub(super) since: Instant,
     old: OldRecord,
-    /// Whether the shard was read anew for it.
+    /// Whether the shard was read again for this claim.
     reloaded: bool,
 }
 
-impl Waiting {
-    pub(super) fn new(from: Peer, claim: Claim, since: Instant) -> Waiting {
-        Waiting { from, claim, since, old: OldRecord::NotRead, reloaded: false }
+impl WaitingClaim {
+    pub(super) fn new(from: Peer, claim: Claim, since: Instant) -> WaitingClaim {
+        WaitingClaim { from, claim, since, old: OldRecord::NotRead, reloaded: false }
     }
 
     /// Whether `claim` repeats this one.
@@ -44,29 +44,30 @@
     }
 }
 
-/// What is to be done with a waiting claim.
-enum Verdict {
-    /// It waits for a commit.
+/// What to do with a waiting claim.
+enum ClaimAction {
+    /// Wait for a commit.
     Commit,
-    /// Archives must be read for it.
+    /// Read these archives for it.
     ReadOld(Vec<ArchiveId>),
-    /// It is answered.
+    /// Answer it.
     Answer(ClaimAnswer),
-    /// What is known is out of date.
+    /// Read the shard again, as the loaded state is out of date.
     Reload,
 }
 
 impl<C: Clock> Holder<C> {
-    /// Answers all claims that can be; the rest wait for a commit. A call is for old archives.
-    pub(super) fn settle(&mut self, now_ms: UnixMs) -> Option<StoreCall> {
+    /// Answers the claims that the loaded state decides; the rest wait for a commit. Returns a call if merged archives
+    /// must be read first.
+    pub(super) fn answer_from_state(&mut self, now_ms: UnixMs) -> Option<StoreCall> {
         let mut at = 0;
         while at < self.waiting.len() {
-            match self.verdict(&self.waiting[at], now_ms) {
-                Verdict::Commit => at += 1,
-                Verdict::Answer(answer) => self.answer_waiting(at, answer),
-                Verdict::ReadOld(archives) => return self.read_old(at, &archives),
-                Verdict::Reload if self.waiting[at].reloaded => self.refuse_behind(at),
-                Verdict::Reload => {
+            match self.claim_action(&self.waiting[at], now_ms) {
+                ClaimAction::Commit => at += 1,
+                ClaimAction::Answer(answer) => self.answer_waiting(at, answer),
+                ClaimAction::ReadOld(archives) => return self.read_old(at, &archives),
+                ClaimAction::Reload if self.waiting[at].reloaded => self.refuse_unknown_attempt(at),
+                ClaimAction::Reload => {
                     self.waiting[at].reloaded = true;
                     self.unload();
                     return None;
@@ -76,31 +77,31 @@
         None
     }
 
-    fn verdict(&self, waiting: &Waiting, now_ms: UnixMs) -> Verdict {
-        let Some(loaded) = &self.loaded else { return Verdict::Reload };
+    fn claim_action(&self, waiting: &WaitingClaim, now_ms: UnixMs) -> ClaimAction {
+        let Some(loaded) = &self.loaded else { return ClaimAction::Reload };
         let known = match loaded.index.find(&waiting.claim.key) {
-            Found::Recent(known) => Some(known),
-            Found::Nowhere => None,
-            Found::Archives(archives) => match &waiting.old {
-                OldRecord::NotRead => return Verdict::ReadOld(archives),
+            Lookup::Recent(known) => Some(known),
+            Lookup::NotFound => None,
+            Lookup::Archives(archives) => match &waiting.old {
+                OldRecord::NotRead => return ClaimAction::ReadOld(archives),
                 OldRecord::Read(known) => known.as_ref(),
             },
         };
         match known.filter(|known| !known.expired(now_ms, self.cfg.retention)) {
-            Some(known) => self.judge(known, &waiting.claim),
-            None if waiting.claim.after == 0 => Verdict::Commit,
-            None => Verdict::Reload,
+            Some(known) => self.check_claim(known, &waiting.claim),
+            None if waiting.claim.after == 0 => ClaimAction::Commit,
+            None => ClaimAction::Reload,
         }
     }
 
-    fn judge(&self, known: &Known, claim: &Claim) -> Verdict {
-        match known.judge(claim, self.shard) {
-            Judgement::Commit => Verdict::Commit,
-            Judgement::Behind => Verdict::Reload,
-            Judgement::Mismatch => Verdict::Answer(ClaimAnswer::Mismatch),
-            Judgement::Own(stamp) => Verdict::Answer(ClaimAnswer::Granted(stamp)),
-            Judgement::Other(stamp) => {
-                Verdict::Answer(ClaimAnswer::Existing { stamp, target: known.record.target })
+    fn check_claim(&self, known: &CommittedRecord, claim: &Claim) -> ClaimAction {
+        match known.check_claim(claim, self.shard) {
+            ClaimCheck::Commit => ClaimAction::Commit,
+            ClaimCheck::UnknownAttempt => ClaimAction::Reload,
+            ClaimCheck::Mismatch => ClaimAction::Answer(ClaimAnswer::Mismatch),
+            ClaimCheck::Own(stamp) => ClaimAction::Answer(ClaimAnswer::Granted(stamp)),
+            ClaimCheck::Other(stamp) => {
+                ClaimAction::Answer(ClaimAnswer::Existing { stamp, target: known.record.target })
             }
         }
     }
@@ -116,7 +117,7 @@
         self.answer(waiting.from, &waiting.claim, answer);
     }
 
-    fn refuse_behind(&mut self, at: usize) {
+    fn refuse_unknown_attempt(&mut self, at: usize) {
         let Some(waiting) = self.waiting.remove(at) else { return };
         let detail = "the attempt before it is not in the ledger".to_owned();
         self.refuse(waiting.from, &waiting.claim, true, detail, Duration::ZERO);
@@ -125,7 +126,7 @@
     fn read_old(&mut self, at: usize, archives: &[ArchiveId]) -> Option<StoreCall> {
         self.counts.lookups += 1;
         let keys = archives.iter().map(|id| id.key(self.shard)).collect();
-        match self.call(Doing::ReadOld(at), StoreCall::Read { keys }) {
+        match self.call(PendingCall::ReadOld(at), StoreCall::Read { keys }) {
             HolderStep::Call(call) => Some(call),
             HolderStep::WaitUntil(_) | HolderStep::Idle => None,
         }
@@ -133,7 +134,7 @@
 
     pub(super) fn on_old(&mut self, at: usize, objects: Vec<ReadObject>) {
         let Some(waiting) = self.waiting.get_mut(at) else { return };
-        let mut latest: Option<Known> = None;
+        let mut latest: Option<CommittedRecord> = None;
         for object in objects {
             let batches = object.and_then(|(_, value)| decode_batches(&value));
             let Some(batches) = batches else {
@@ -146,7 +147,8 @@
                 for record in found {
                     if latest.as_ref().is_none_or(|latest| latest.base <= batch.base) {
                         let record = record.clone();
-                        latest = Some(Known { record, base: batch.base, at_ms: batch.at_ms });
+                        latest =
+                            Some(CommittedRecord { record, base: batch.base, at_ms: batch.at_ms });
                     }
                 }
             }
--- a/crates/core/src/process/ledger/holder/commit.rs
+++ b/crates/core/src/process/ledger/holder/commit.rs
@@ -1,6 +1,6 @@
-//! Committing claims: one conditional put of the head, after an archive where it is full.
+//! Commits of claims by one conditional put of the head, preceded by that of an archive if the head is full.
 
-use super::holder::{Doing, Loaded};
+use super::holder::{Loaded, PendingCall};
 use super::{Holder, HolderStep, PutCondition, StoreCall};
 use crate::clock::Clock;
 use crate::id::Revision;
@@ -11,20 +11,21 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// A head that refers to an archive just written. It must be the very next head put, under the
-/// version that was known before the archive was written: the sweep relies on it.
+/// A head that refers to an archive just written. It must be the next head that is put, conditional on
+/// the version that was loaded before the archive was written: the deletion of unreferenced objects
+/// relies on this.
 #[derive(Clone, Debug)]
 pub(super) struct Prepared {
     pub(super) head: Head,
     id: ArchiveId,
-    /// The batches that went to the archive.
+    /// The batches that were moved to the archive.
     moved: Vec<Batch>,
-    /// Whether they are all recent ones, merged.
+    /// Whether the archive is a merged one, with the batches of the head and of all recent archives.
     merged: bool,
 }
 
 impl<C: Clock> Holder<C> {
-    /// The next write: an archive if the head is full, else the head with the claims that wait.
+    /// Returns the next write: an archive if the head is full, else the head with the waiting claims.
     pub(super) fn next_commit(&mut self, now_ms: UnixMs) -> HolderStep {
         let Some(loaded) = &self.loaded else { return HolderStep::Idle };
         if self.waiting.is_empty() {
@@ -37,20 +38,20 @@
         if all < self.cfg.merge_records {
             return self.put_archive();
         }
-        if self.merged_in_force(now_ms) < self.cfg.max_archives {
+        if self.unexpired_merged(now_ms) < self.cfg.max_archives {
             return self.put_merged();
         }
         self.refuse_full();
         HolderStep::Idle
     }
 
-    fn name_archive(&mut self) -> ArchiveId {
-        self.archives_named += 1;
-        ArchiveId { writer: self.me, number: self.archives_named }
+    fn next_archive_id(&mut self) -> ArchiveId {
+        self.last_archive_number += 1;
+        ArchiveId { writer: self.incarnation, number: self.last_archive_number }
     }
 
     fn put_archive(&mut self) -> HolderStep {
-        let id = self.name_archive();
+        let id = self.next_archive_id();
         let Some(loaded) = &self.loaded else { return HolderStep::Idle };
         let moved = loaded.head.batches.clone();
         let mut head = Head { batches: Vec::new(), ..loaded.head.clone() };
@@ -59,7 +60,7 @@
     }
 
     fn put_merged(&mut self) -> HolderStep {
-        let id = self.name_archive();
+        let id = self.next_archive_id();
         let Some(loaded) = &self.loaded else { return HolderStep::Idle };
         let moved: Vec<Batch> = loaded.recent.iter().chain(&loaded.head.batches).cloned().collect();
         let mut merged = loaded.head.merged.clone();
@@ -72,7 +73,7 @@
         let key = prepared.id.key(self.shard);
         let value = encode_batches(&prepared.moved);
         let call = StoreCall::Put { key, value, when: PutCondition::Absent };
-        self.call(Doing::PutArchive(prepared), call)
+        self.call(PendingCall::PutArchive(prepared), call)
     }
 
     pub(super) fn on_archive_put(&mut self, prepared: Prepared) {
@@ -85,12 +86,12 @@
         self.upkeep.put_keys = Some(prepared);
     }
 
-    /// The short keys of a merged archive go beside it.
+    /// Writes the object with the short keys of a merged archive.
     pub(super) fn put_keys(&mut self, prepared: Prepared) -> HolderStep {
         let key = prepared.id.index_key(self.shard);
         let value = encode_keys(&short_keys(&prepared.moved));
         let call = StoreCall::Put { key, value, when: PutCondition::Absent };
-        self.call(Doing::PutKeys(prepared), call)
+        self.call(PendingCall::PutKeys(prepared), call)
     }
 
     fn put_head(&mut self, now_ms: UnixMs) -> HolderStep {
@@ -100,7 +101,7 @@
             Some(prepared) => prepared.head.clone(),
             None => loaded.head.clone(),
         };
-        head.merged.retain(|archive| !self.is_over(archive.last_ms, now_ms));
+        head.merged.retain(|archive| !self.is_expired(archive.last_ms, now_ms));
         let base = loaded.version;
         head.batches.push(Batch { base, at_ms: now_ms, records: self.next_records() });
         let when = match base {
@@ -108,10 +109,10 @@
             version => PutCondition::Version(version),
         };
         let call = StoreCall::Put { key: self.head_key(), value: head.encode(), when };
-        self.call(Doing::PutHead(Box::new((head, prepared))), call)
+        self.call(PendingCall::PutHead(Box::new((head, prepared))), call)
     }
 
-    /// The records for the claims that wait, one a key.
+    /// Returns records for the waiting claims, at most one per key.
     fn next_records(&self) -> Vec<Record> {
         let mut keys: HashSet<RecordKey> = HashSet::new();
         let claims = self.waiting.iter().map(|waiting| &waiting.claim);
@@ -122,7 +123,7 @@
             .collect()
     }
 
-    /// The put took effect: whoever has a record in it may send its run.
+    /// Handles a put of the head that took effect: grants the claims whose records it holds.
     pub(super) fn on_head_put(
         &mut self,
         version: Revision,
@@ -135,23 +136,23 @@
         loaded.version = version;
         loaded.head = head;
         if let Some(prepared) = prepared {
-            loaded.take_archive(prepared);
-            self.upkeep.begin();
-            self.waiting.iter_mut().for_each(super::Waiting::forget_old);
+            loaded.apply_archive(prepared);
+            self.upkeep.schedule_listing();
+            self.waiting.iter_mut().for_each(super::WaitingClaim::forget_old);
         }
         let Some(batch) = batch else { return };
         loaded.index.add(&batch);
         self.counts.batches += 1;
-        self.upkeep.put_since_delete += 1;
+        self.upkeep.puts_since_delete += 1;
         self.grant(&batch);
     }
 
     fn grant(&mut self, batch: &Batch) {
         for record in &batch.records {
-            let is_its = |waiting: &super::Waiting| {
+            let matches_record = |waiting: &super::WaitingClaim| {
                 waiting.claim.owner == record.owner && waiting.claim.after + 1 == record.attempt
             };
-            let Some(at) = self.waiting.iter().position(is_its) else { continue };
+            let Some(at) = self.waiting.iter().position(matches_record) else { continue };
             let Some(waiting) = self.waiting.remove(at) else { continue };
             self.counts.granted += 1;
             let stamp = Stamp {
@@ -164,17 +165,18 @@
         }
     }
 
-    fn merged_in_force(&self, now_ms: UnixMs) -> usize {
+    fn unexpired_merged(&self, now_ms: UnixMs) -> usize {
         let Some(loaded) = &self.loaded else { return 0 };
         let merged = loaded.head.merged.iter();
-        merged.filter(|archive| !self.is_over(archive.last_ms, now_ms)).count()
+        merged.filter(|archive| !self.is_expired(archive.last_ms, now_ms)).count()
     }
 
-    fn is_over(&self, last_ms: UnixMs, now_ms: UnixMs) -> bool {
+    fn is_expired(&self, last_ms: UnixMs, now_ms: UnixMs) -> bool {
         last_ms.saturating_add(self.cfg.retention.as_millis() as u64) < now_ms
     }
 
-    /// All room for keys is taken: a key forgotten early could run twice, so new ones are refused.
+    /// Refuses the waiting claims because the shard has no capacity for more keys. Keys are not dropped
+    /// early to free capacity, as a request with a dropped key could run twice.
     fn refuse_full(&mut self) {
         let (recent, old) = self.keys();
         for waiting in std::mem::take(&mut self.waiting) {
@@ -184,7 +186,7 @@
     }
 }
 
-/// When to come back to a shard that is full of keys.
+/// Retry delay for claims to a shard that has no capacity for more keys.
 const FULL_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 fn record_of(claim: &Claim) -> Record {
@@ -205,7 +207,7 @@
         gone.into_iter().for_each(|id| self.index.forget_old(id));
     }
 
-    fn take_archive(&mut self, prepared: Prepared) {
+    fn apply_archive(&mut self, prepared: Prepared) {
         if !prepared.merged {
             self.recent.extend(prepared.moved);
             return;
--- a/crates/core/src/process/ledger/holder/holder.rs
+++ b/crates/core/src/process/ledger/holder/holder.rs
@@ -1,8 +1,8 @@
-//! The holder of a shard.
+//! The holder of a shard: its state, its next step, and its handling of store replies.
 
 use super::{
     HolderConfig, HolderCounts, HolderStep, Loading, Prepared, StoreCall, StoreReply, Upkeep,
-    Waiting,
+    WaitingClaim,
 };
 use crate::clock::Clock;
 use crate::id::{Attempt, Incarnation, Revision};
@@ -13,21 +13,21 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// The first pause after the store was found down; it doubles.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause before the store is tried again.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
-/// When to come back to a ledger whose store is down, at least.
+/// First pause after the store is found down; each further pause doubles.
+const MIN_PAUSE: Duration = Duration::from_millis(100);
+/// Longest pause before the store is called again.
+const MAX_PAUSE: Duration = Duration::from_secs(1);
+/// Minimum retry delay that a refused claim is given.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// The wait before a read that showed an older head is repeated.
-const STALE_PAUSE: Duration = Duration::from_millis(20);
+/// Wait before a read that returned stale data is repeated.
+const STALE_READ_PAUSE: Duration = Duration::from_millis(20);
 
 /// The answer to a claim, for the peer that sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimReply {
-    /// Who sent the claim.
+    /// The peer that sent the claim.
     pub to: Peer,
-    /// Its owner.
+    /// The owner of the claim.
     pub owner: RequestKey,
     /// [`Claim::after`] of the claim.
     pub after: Attempt,
@@ -35,7 +35,7 @@
     pub answer: ClaimAnswer,
 }
 
-/// What a holder knows of its shard, as of one version of the head.
+/// The state of a shard at one version of its head.
 #[derive(Clone, Debug)]
 pub(super) struct Loaded {
     pub(super) version: Revision,
@@ -45,10 +45,10 @@
     pub(super) recent: Vec<Batch>,
 }
 
-/// The call that is under way.
+/// The pending call to the store.
 #[derive(Clone, Debug)]
-pub(super) enum Doing {
-    Nothing,
+pub(super) enum PendingCall {
+    NoCall,
     ReadHead,
     ReadArchives,
     ReadOld(usize),
@@ -59,27 +59,27 @@
     Delete,
 }
 
-/// The holder of a shard. It holds nothing by right: two that keep the same shard clash on the
-/// version of the head, and the loser reads on.
+/// Commits the claims of one shard. It has no exclusive right to the shard: if two holders serve the
+/// same one, the conditional put of the head fails for one of them, which then loads the shard again.
 ///
-/// It makes one call to the store at a time: the driver asks [`Holder::next`], makes the call and
-/// tells [`Holder::on_reply`].
+/// It has at most one call to the store pending: the driver gets the call from [`Holder::next`], makes
+/// it, and passes the reply to [`Holder::on_reply`].
 #[derive(Debug)]
 pub struct Holder<C> {
     pub(super) shard: Shard,
-    pub(super) me: Incarnation,
+    pub(super) incarnation: Incarnation,
     pub(super) cfg: HolderConfig,
     pub(super) clock: C,
     pub(super) pacer: Pacer<C>,
-    pub(super) doing: Doing,
+    pub(super) pending: PendingCall,
     pub(super) loaded: Option<Loaded>,
     pub(super) loading: Option<Loading>,
     pub(super) prepared: Option<Prepared>,
-    pub(super) waiting: VecDeque<Waiting>,
+    pub(super) waiting: VecDeque<WaitingClaim>,
     pub(super) answers: Vec<ClaimReply>,
     pub(super) upkeep: Upkeep,
-    pub(super) archives_named: u32,
-    /// The highest version of the head that is known to have been.
+    pub(super) last_archive_number: u32,
+    /// The highest version of the head seen so far; a read below it is stale.
     pub(super) floor: Revision,
     pub(super) counts: HolderCounts,
     not_before: Option<Instant>,
@@ -88,37 +88,37 @@
 }
 
 impl<C: Clock> Holder<C> {
-    /// A holder that has read nothing yet, run by the daemon of incarnation `me`.
-    pub fn new(shard: Shard, me: Incarnation, cfg: HolderConfig, clock: C) -> Holder<C> {
+    /// Creates a holder that has read nothing yet, run by the daemon of incarnation `incarnation`.
+    pub fn new(shard: Shard, incarnation: Incarnation, cfg: HolderConfig, clock: C) -> Holder<C> {
         Holder {
             shard,
-            me,
+            incarnation,
             cfg,
             pacer: Pacer::new(cfg.writes_per_s, clock.clone()),
             clock,
-            doing: Doing::Nothing,
+            pending: PendingCall::NoCall,
             loaded: None,
             loading: None,
             prepared: None,
             waiting: VecDeque::new(),
             answers: Vec::new(),
             upkeep: Upkeep::new(),
-            archives_named: 0,
+            last_archive_number: 0,
             floor: 0,
             counts: HolderCounts::default(),
             not_before: None,
             down_until: None,
-            pause: FIRST_PAUSE,
+            pause: MIN_PAUSE,
         }
     }
 
-    /// Takes a claim; its answer comes from [`Holder::take_answers`].
+    /// Accepts a claim; its answer is returned by [`Holder::take_answers`].
     pub fn claim(&mut self, from: Peer, claim: Claim) {
         let now = self.clock.now();
         if let Some(until) = self.down_until.filter(|until| now < *until) {
-            return self.refuse_down(from, &claim, until - now, "the store is down");
+            return self.refuse_store_down(from, &claim, until - now, "the store is down");
         }
-        let same = |waiting: &&mut Waiting| waiting.is_for(&claim);
+        let same = |waiting: &&mut WaitingClaim| waiting.is_for(&claim);
         if let Some(waiting) = self.waiting.iter_mut().find(same) {
             waiting.from = from;
             return;
@@ -127,12 +127,12 @@
             let detail = format!("{} claims wait at the shard's holder", self.waiting.len());
             return self.refuse(from, &claim, false, detail, MIN_RETRY_AFTER);
         }
-        self.waiting.push_back(Waiting::new(from, claim, now));
+        self.waiting.push_back(WaitingClaim::new(from, claim, now));
     }
 
-    /// What to do next. `now_ms` is the time since the Unix epoch, for retention only.
+    /// Returns what to do next. `now_ms` is the time since the Unix epoch, used only for retention.
     pub fn next(&mut self, now_ms: UnixMs) -> HolderStep {
-        if !matches!(self.doing, Doing::Nothing) {
+        if !matches!(self.pending, PendingCall::NoCall) {
             return HolderStep::Idle;
         }
         let now = self.clock.now();
@@ -147,7 +147,7 @@
         if self.loaded.is_none() {
             return if self.waiting.is_empty() { HolderStep::Idle } else { self.next_load() };
         }
-        if let Some(call) = self.settle(now_ms) {
+        if let Some(call) = self.answer_from_state(now_ms) {
             return HolderStep::Call(call);
         }
         if self.loaded.is_none() {
@@ -162,69 +162,75 @@
         self.next_commit(now_ms)
     }
 
-    /// Takes the reply to the call that [`Holder::next`] asked for.
+    /// Handles the reply to the call that [`Holder::next`] returned.
     pub fn on_reply(&mut self, reply: StoreReply) {
-        let doing = std::mem::replace(&mut self.doing, Doing::Nothing);
+        let pending = std::mem::replace(&mut self.pending, PendingCall::NoCall);
         match reply {
-            StoreReply::Down { detail } => return self.on_down(doing, &detail),
-            StoreReply::NoAnswer { detail } => return self.on_no_answer(&doing, &detail),
+            StoreReply::Down { detail } => return self.on_down(pending, &detail),
+            StoreReply::NoAnswer { detail } => return self.on_no_answer(&pending, &detail),
             StoreReply::RateLimited { retry_after } => {
-                return self.on_rate_limited(doing, retry_after);
+                return self.on_rate_limited(pending, retry_after);
             }
-            _ => self.on_well(&doing),
+            _ => self.on_store_reachable(&pending),
         }
-        match (doing, reply) {
-            (Doing::ReadHead, StoreReply::Objects(objects)) => self.on_head(objects),
-            (Doing::ReadArchives, StoreReply::Objects(objects)) => self.on_archives(objects),
-            (Doing::ReadOld(at), StoreReply::Objects(objects)) => self.on_old(at, objects),
-            (Doing::PutArchive(prepared), StoreReply::Written(_)) => self.on_archive_put(prepared),
-            (Doing::PutKeys(prepared), StoreReply::Written(_)) => self.prepared = Some(prepared),
-            (Doing::PutHead(put), StoreReply::Written(version)) => {
+        match (pending, reply) {
+            (PendingCall::ReadHead, StoreReply::Objects(objects)) => self.on_head(objects),
+            (PendingCall::ReadArchives, StoreReply::Objects(objects)) => self.on_archives(objects),
+            (PendingCall::ReadOld(at), StoreReply::Objects(objects)) => self.on_old(at, objects),
+            (PendingCall::PutArchive(prepared), StoreReply::Written(_)) => {
+                self.on_archive_put(prepared)
+            }
+            (PendingCall::PutKeys(prepared), StoreReply::Written(_)) => {
+                self.prepared = Some(prepared)
+            }
+            (PendingCall::PutHead(put), StoreReply::Written(version)) => {
                 self.on_head_put(version, *put);
             }
-            (Doing::PutHead(_), StoreReply::Conflict { found }) => self.on_head_conflict(found),
-            (Doing::List, StoreReply::Listed(objects)) => self.on_listed(objects),
-            (Doing::Delete, StoreReply::Deleted) => self.counts.swept += 1,
+            (PendingCall::PutHead(_), StoreReply::Conflict { found }) => {
+                self.on_head_conflict(found)
+            }
+            (PendingCall::List, StoreReply::Listed(objects)) => self.on_listed(objects),
+            (PendingCall::Delete, StoreReply::Deleted) => self.counts.swept += 1,
             _ => {}
         }
     }
 
-    /// The answers to claims since the last call.
+    /// Returns the answers to claims since the last call.
     pub fn take_answers(&mut self) -> Vec<ClaimReply> {
         std::mem::take(&mut self.answers)
     }
 
-    /// What it has counted.
+    /// Returns the counters.
     pub fn counts(&self) -> HolderCounts {
         self.counts
     }
 
-    /// How many keys it remembers: whole records, and short keys of older ones.
+    /// Returns the number of keys in memory: full records, and short keys of older ones.
     pub fn keys(&self) -> (usize, usize) {
         self.loaded.as_ref().map_or((0, 0), |loaded| loaded.index.len())
     }
 
-    /// How many claims wait.
+    /// Returns the number of waiting claims.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Version of the head that it knows, 0 before it has read one.
+    /// Returns the version of the loaded head, 0 if none is loaded.
     pub fn version(&self) -> Revision {
         self.loaded.as_ref().map_or(0, |loaded| loaded.version)
     }
 
-    /// Writes a second that it allows itself at present.
+    /// Returns the current write rate limit, per second.
     pub fn write_rate(&self) -> f64 {
         self.pacer.rate()
     }
 
-    pub(super) fn call(&mut self, doing: Doing, call: StoreCall) -> HolderStep {
+    pub(super) fn call(&mut self, pending: PendingCall, call: StoreCall) -> HolderStep {
         if matches!(call, StoreCall::Put { .. } | StoreCall::Delete { .. }) {
-            self.pacer.started();
+            self.pacer.on_start();
             self.counts.writes += 1;
         }
-        self.doing = doing;
+        self.pending = pending;
         HolderStep::Call(call)
     }
 
@@ -249,87 +255,90 @@
         self.answer(to, claim, ClaimAnswer::Refused { store_down, detail, retry_after_ms });
     }
 
-    /// What is known of the shard is out of date, or in doubt: read it anew.
+    /// Drops the loaded state, which is or may be out of date, so that the shard is read again.
     pub(super) fn unload(&mut self) {
         self.loaded = None;
         self.loading = None;
         self.prepared = None;
         self.upkeep.clear();
-        self.waiting.iter_mut().for_each(Waiting::forget_old);
+        self.waiting.iter_mut().for_each(WaitingClaim::forget_old);
     }
 
-    /// A read showed an older head than one that is known to have been.
+    /// Counts a read that returned stale data, and delays the next one.
     pub(super) fn on_stale_read(&mut self) {
         self.counts.stale_reads += 1;
-        self.not_before = Some(self.clock.now() + STALE_PAUSE);
+        self.not_before = Some(self.clock.now() + STALE_READ_PAUSE);
     }
 
-    /// Nothing can be read or written: whoever waits is refused at once.
-    pub(super) fn go_down(&mut self, detail: &str) {
+    /// Marks the store as down until a pause is over, and refuses all waiting claims at once.
+    pub(super) fn mark_store_down(&mut self, detail: &str) {
         self.counts.downs += 1;
-        self.pacer.went_down();
+        self.pacer.on_outage();
         self.down_until = Some(self.clock.now() + self.pause);
         let pause = self.pause;
-        self.pause = (self.pause * 2).min(LONGEST_PAUSE);
+        self.pause = (self.pause * 2).min(MAX_PAUSE);
         for waiting in std::mem::take(&mut self.waiting) {
-            self.refuse_down(waiting.from, &waiting.claim, pause, detail);
+            self.refuse_store_down(waiting.from, &waiting.claim, pause, detail);
         }
     }
 
-    fn refuse_down(&mut self, to: Peer, claim: &Claim, wait: Duration, detail: &str) {
+    fn refuse_store_down(&mut self, to: Peer, claim: &Claim, wait: Duration, detail: &str) {
         let detail = format!("nothing was run for this request, as it can't be recorded: {detail}");
         self.refuse(to, claim, true, detail, wait);
     }
 
-    fn on_well(&mut self, doing: &Doing) {
+    fn on_store_reachable(&mut self, pending: &PendingCall) {
         self.down_until = None;
         self.not_before = None;
-        self.pause = FIRST_PAUSE;
+        self.pause = MIN_PAUSE;
         let wrote = !matches!(
-            doing,
-            Doing::ReadHead
-                | Doing::ReadArchives
-                | Doing::ReadOld(_)
-                | Doing::List
-                | Doing::Nothing
+            pending,
+            PendingCall::ReadHead
+                | PendingCall::ReadArchives
+                | PendingCall::ReadOld(_)
+                | PendingCall::List
+                | PendingCall::NoCall
         );
         if wrote {
-            self.pacer.went_well();
+            self.pacer.on_success();
         }
     }
 
-    /// Nothing was written; what is known stays good.
-    fn on_down(&mut self, doing: Doing, detail: &str) {
-        self.keep_prepared(doing);
-        self.go_down(detail);
+    /// Handles a store that is down. Nothing was written, so the loaded state stays valid.
+    fn on_down(&mut self, pending: PendingCall, detail: &str) {
+        self.keep_prepared(pending);
+        self.mark_store_down(detail);
     }
 
-    fn on_no_answer(&mut self, doing: &Doing, detail: &str) {
-        self.pacer.overloaded();
-        match doing {
-            Doing::PutHead(_) => {
+    fn on_no_answer(&mut self, pending: &PendingCall, detail: &str) {
+        self.pacer.on_overload();
+        match pending {
+            PendingCall::PutHead(_) => {
                 self.counts.answers_lost += 1;
                 self.unload();
             }
-            // An archive that may have been written is abandoned; the next takes a fresh name.
-            Doing::PutArchive(_) | Doing::PutKeys(_) => self.counts.answers_lost += 1,
-            Doing::Delete | Doing::Nothing => {}
-            Doing::ReadHead | Doing::ReadArchives | Doing::ReadOld(_) | Doing::List => {
-                self.go_down(detail);
+            // An archive that may have been written is abandoned; the next one gets a new id.
+            PendingCall::PutArchive(_) | PendingCall::PutKeys(_) => self.counts.answers_lost += 1,
+            PendingCall::Delete | PendingCall::NoCall => {}
+            PendingCall::ReadHead
+            | PendingCall::ReadArchives
+            | PendingCall::ReadOld(_)
+            | PendingCall::List => {
+                self.mark_store_down(detail);
             }
         }
     }
 
-    fn on_rate_limited(&mut self, doing: Doing, retry_after: Duration) {
-        self.pacer.overloaded();
+    fn on_rate_limited(&mut self, pending: PendingCall, retry_after: Duration) {
+        self.pacer.on_overload();
         let wait = retry_after.min(self.cfg.max_wait / 8);
         self.not_before = Some(self.clock.now() + wait);
-        self.keep_prepared(doing);
+        self.keep_prepared(pending);
     }
 
-    /// A head that was certainly not put leaves the archive written for it as good as before.
-    fn keep_prepared(&mut self, doing: Doing) {
-        if let Doing::PutHead(put) = doing {
+    /// Keeps the archive written for a head that certainly was not put, for the next put.
+    fn keep_prepared(&mut self, pending: PendingCall) {
+        if let PendingCall::PutHead(put) = pending {
             self.prepared = put.1;
         }
     }
@@ -345,7 +354,7 @@
         while self.waiting.front().is_some_and(|first| now - first.since > self.cfg.max_wait) {
             let Some(waiting) = self.waiting.pop_front() else { return };
             let detail = format!("the store took no record within {:?}", self.cfg.max_wait);
-            self.refuse_down(waiting.from, &waiting.claim, MIN_RETRY_AFTER, &detail);
+            self.refuse_store_down(waiting.from, &waiting.claim, MIN_RETRY_AFTER, &detail);
         }
     }
 }
--- a/crates/core/src/process/ledger/holder/store_call.rs
+++ b/crates/core/src/process/ledger/holder/store_call.rs
@@ -1,4 +1,4 @@
-//! What a holder asks of the store, as values.
+//! Calls of a holder to the store and their replies, as values.
 
 use crate::id::Revision;
 use std::time::{Duration, Instant};
@@ -15,35 +15,35 @@
 /// A call to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreCall {
-    /// Reads objects; they may be read side by side.
+    /// Reads objects; they may be read in parallel.
     Read {
-        /// Their keys.
+        /// Keys of the objects.
         keys: Vec<String>,
     },
     /// Writes an object.
     Put {
-        /// Its key.
+        /// Key of the object.
         key: String,
-        /// Its value.
+        /// The new value.
         value: Vec<u8>,
-        /// The condition.
+        /// The condition of the write.
         when: PutCondition,
     },
     /// Lists objects.
     List {
-        /// The prefix of their keys.
+        /// Prefix of their keys.
         prefix: String,
     },
     /// Deletes an object.
     Delete {
-        /// Its key.
+        /// Key of the object.
         key: String,
-        /// Only if it is at this version.
+        /// The version that the object must be at.
         version: Revision,
     },
 }
 
-/// An object that was read: its version and value.
+/// The version and value of an object that was read; `None` if there is no such object.
 pub type ReadObject = Option<(Revision, Vec<u8>)>;
 
 /// The store's answer to a [`StoreCall`].
@@ -53,7 +53,7 @@
     Objects(Vec<ReadObject>),
     /// The put took effect, and this is the object's version.
     Written(Revision),
-    /// Keys and versions.
+    /// Keys and versions of the listed objects.
     Listed(Vec<(String, Revision)>),
     /// The delete took effect.
     Deleted,
@@ -62,30 +62,30 @@
         /// The version found, 0 for none.
         found: Revision,
     },
-    /// The store refused for its rate; nothing was written.
+    /// The store refused the call because of its rate limit; nothing was written.
     RateLimited {
-        /// When to come back.
+        /// When to retry.
         retry_after: Duration,
     },
     /// The store is down; nothing was written.
     Down {
-        /// Step and peer.
+        /// The step that failed, and the peer.
         detail: String,
     },
-    /// No answer came: a write may have taken effect, or may yet.
+    /// No answer arrived: a write may have taken effect, or may still do so.
     NoAnswer {
-        /// Step and peer.
+        /// The step that failed, and the peer.
         detail: String,
     },
 }
 
-/// What the driver of a holder is to do next.
+/// What the driver of a holder must do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HolderStep {
-    /// Make this call, and tell the holder its reply.
+    /// Make this call, and pass its reply to the holder.
     Call(StoreCall),
-    /// Come back at this instant, or after a new claim.
+    /// Get the next step at this instant, or after a new claim.
     WaitUntil(Instant),
-    /// Come back after a new claim.
+    /// Get the next step after a new claim.
     Idle,
 }
--- a/crates/core/src/process/ledger/holder/upkeep.rs
+++ b/crates/core/src/process/ledger/holder/upkeep.rs
@@ -1,33 +1,36 @@
-//! Upkeep of a shard's objects: what no head refers to is deleted.
+//! Upkeep of a shard's objects: short keys are written, and objects that no head refers to are deleted.
 
-use super::holder::Doing;
+use super::holder::PendingCall;
 use super::{Holder, HolderStep, Prepared, StoreCall};
 use crate::clock::Clock;
 use crate::id::Revision;
 use crate::process::ledger::archive_prefix;
 use std::collections::VecDeque;
 
-/// Heads put between two deletes while claims wait.
+/// Number of head puts between two deletes while claims wait.
 const PUTS_PER_DELETE: u32 = 8;
 
-/// What is to be done besides claims.
+/// Pending work other than claims.
 #[derive(Clone, Debug)]
 pub(super) struct Upkeep {
     /// A merged archive whose short keys are to be written next.
     pub(super) put_keys: Option<Prepared>,
-    pub(super) put_since_delete: u32,
-    list: bool,
-    litter: VecDeque<(String, Revision)>,
+    /// Puts of the head since the last delete.
+    pub(super) puts_since_delete: u32,
+    /// Whether the objects are to be listed.
+    list_due: bool,
+    /// Objects to delete, with their versions.
+    orphans: VecDeque<(String, Revision)>,
 }
 
 impl Upkeep {
     pub(super) fn new() -> Upkeep {
-        Upkeep { put_keys: None, put_since_delete: 0, list: false, litter: VecDeque::new() }
+        Upkeep { put_keys: None, puts_since_delete: 0, list_due: false, orphans: VecDeque::new() }
     }
 
-    /// There may be litter.
-    pub(super) fn begin(&mut self) {
-        self.list = true;
+    /// Schedules a listing of the objects, as some may be unreferenced.
+    pub(super) fn schedule_listing(&mut self) {
+        self.list_due = true;
     }
 
     pub(super) fn clear(&mut self) {
@@ -39,39 +42,40 @@
     pub(super) fn has_work(&self) -> bool {
         let upkeep = &self.upkeep;
         !self.waiting.is_empty()
-            || upkeep.list
-            || !upkeep.litter.is_empty()
+            || upkeep.list_due
+            || !upkeep.orphans.is_empty()
             || upkeep.put_keys.is_some()
     }
 
-    /// Whether upkeep goes before the claims that wait.
+    /// Whether upkeep takes precedence over waiting claims.
     pub(super) fn upkeep_first(&self) -> bool {
-        let turn = self.upkeep.put_since_delete >= PUTS_PER_DELETE;
+        let delete_due = self.upkeep.puts_since_delete >= PUTS_PER_DELETE;
         self.upkeep.put_keys.is_some()
-            || turn && (self.upkeep.list || !self.upkeep.litter.is_empty())
+            || delete_due && (self.upkeep.list_due || !self.upkeep.orphans.is_empty())
     }
 
     pub(super) fn next_upkeep(&mut self) -> HolderStep {
         if let Some(prepared) = self.upkeep.put_keys.take() {
             return self.put_keys(prepared);
         }
-        if self.upkeep.list {
-            self.upkeep.list = false;
+        if self.upkeep.list_due {
+            self.upkeep.list_due = false;
             let prefix = archive_prefix(self.shard);
-            return self.call(Doing::List, StoreCall::List { prefix });
+            return self.call(PendingCall::List, StoreCall::List { prefix });
         }
-        let Some((key, version)) = self.upkeep.litter.pop_front() else { return HolderStep::Idle };
-        self.upkeep.put_since_delete = 0;
-        self.call(Doing::Delete, StoreCall::Delete { key, version })
+        let Some((key, version)) = self.upkeep.orphans.pop_front() else { return HolderStep::Idle };
+        self.upkeep.puts_since_delete = 0;
+        self.call(PendingCall::Delete, StoreCall::Delete { key, version })
     }
 
-    /// An object is litter if no head refers to it and it is older than the head known: its writer
-    /// meant it for a head put on a lower version, and that put can only clash by now.
+    /// Selects the orphaned objects: those that the head doesn't refer to and that are older than the
+    /// head. The writer of such an object meant it for a head put that is conditional on a lower
+    /// version, which can only fail by now.
     pub(super) fn on_listed(&mut self, objects: Vec<(String, Revision)>) {
         let Some(loaded) = &self.loaded else { return };
-        let is_litter = |(key, version): &(String, Revision)| {
+        let is_orphan = |(key, version): &(String, Revision)| {
             *version < loaded.version && !loaded.head.refers_to(self.shard, key)
         };
-        self.upkeep.litter = objects.into_iter().filter(is_litter).collect();
+        self.upkeep.orphans = objects.into_iter().filter(is_orphan).collect();
     }
 }
--- a/crates/core/src/process/ledger/keyed_run.rs
+++ b/crates/core/src/process/ledger/keyed_run.rs
@@ -1,44 +1,44 @@
-//! One request with a key on its way through the ledger, at its entry.
+//! State machine at the entry for one request with a key.
 
 use super::{Claim, ClaimAnswer, Fingerprint, RecordKey, RecordStatus, Stamp};
 use crate::id::Attempt;
 use crate::request::{NotRun, Peer, Refusal, RequestKey, Unknown};
 use std::time::Duration;
 
-/// Times that a claim is sent before the ledger counts as out of reach.
+/// Number of times a claim is sent before the ledger counts as unreachable.
 pub const MAX_CLAIMS: u32 = 16;
-/// Times in a row that a daemon can't be reached before it counts as gone.
+/// Number of failures in a row to reach a daemon before it counts as unreachable.
 pub const MAX_UNREACHED: u32 = 5;
 
-/// What the entry is to do next for a request.
+/// What the entry must do next for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyedStep {
     /// Choose a daemon, and [`KeyedRun::claim`] the key for it.
     Choose,
     /// Send this claim to the holder of its shard.
     Claim(Claim),
-    /// Send the run to the daemon chosen, with this stamp.
+    /// Send the run to the chosen daemon, with this stamp.
     Send(Stamp),
-    /// Ask this daemon for the record.
+    /// Ask this daemon for the status of the record.
     Ask {
         /// The record.
         stamp: Stamp,
         /// The daemon.
         target: Peer,
-        /// Whether a run that has not come yet is to be kept from starting.
+        /// Whether a run that has not arrived yet must be prevented from starting.
         fence: bool,
     },
-    /// Wait.
+    /// Wait for the next message or timeout.
     Wait,
-    /// What came is late, crossed or repeated: drop and count it.
+    /// The message is late, repeated, or crossed another one: drop and count it.
     Drop,
-    /// The answer that came is the request's own: hand it over.
+    /// The answer that arrived belongs to the request: pass it to the caller.
     Finish,
     /// The key was used for another request.
     Mismatch,
-    /// It is not run, and will not be.
+    /// The request was not run, and will not be.
     NotRun(NotRun),
-    /// It may have run.
+    /// The request may have run.
     Unknown(Unknown),
 }
 
@@ -60,7 +60,7 @@
     Ended,
 }
 
-/// One request with a key on its way through the ledger.
+/// State of one request with a key, from its first claim to its final outcome.
 #[derive(Clone, Debug)]
 pub struct KeyedRun {
     owner: RequestKey,
@@ -74,7 +74,7 @@
 }
 
 impl KeyedRun {
-    /// A request that has claimed nothing yet.
+    /// Creates the state of a request that has claimed nothing yet.
     pub fn new(owner: RequestKey, key: RecordKey, fingerprint: Fingerprint) -> KeyedRun {
         KeyedRun {
             owner,
@@ -88,37 +88,37 @@
         }
     }
 
-    /// The key.
+    /// Returns the key.
     pub fn key(&self) -> &RecordKey {
         &self.key
     }
 
-    /// Attempts at the key that are proven not to have run.
+    /// Returns the number of attempts at the key that are proven not to have run.
     pub fn attempts_refused(&self) -> Attempt {
         self.after
     }
 
-    /// Whether the run of a record is its own, and not that of an earlier request.
+    /// Whether the record was granted to this request, and not to an earlier one.
     pub fn is_own(&self, stamp: &Stamp) -> bool {
         self.granted.as_ref() == Some(stamp)
     }
 
-    /// The last record that was granted to it.
+    /// Returns the stamp of the last record granted to this request.
     pub fn granted(&self) -> Option<Stamp> {
         self.granted
     }
 
-    /// Whether it waits for the end of a run that its daemon has told of.
+    /// Whether the request waits for the end of a run that its daemon reported as running.
     pub fn is_following(&self) -> bool {
         matches!(self.state, State::Following { .. })
     }
 
-    /// Whether it waits for the holder of its shard.
+    /// Whether the request waits for the holder of its shard.
     pub fn is_claiming(&self) -> bool {
         matches!(self.state, State::Claiming { .. })
     }
 
-    /// The daemon that has its run, or the run that it follows.
+    /// Returns the daemon of the run that the request sent or follows.
     pub fn target(&self) -> Option<Peer> {
         match &self.state {
             State::Sent { target, .. }
@@ -141,7 +141,7 @@
         claim
     }
 
-    /// Takes the holder's answer to the claim after attempt `after`.
+    /// Handles the holder's answer to the claim that follows attempt `after`.
     pub fn on_claim_answer(&mut self, after: Attempt, answer: ClaimAnswer) -> KeyedStep {
         let State::Claiming { claim, .. } = &self.state else { return KeyedStep::Drop };
         if after != self.after {
@@ -165,14 +165,14 @@
         }
     }
 
-    /// The run was granted, and could not be sent: it never left this process.
+    /// Handles a granted run that could not be sent and never left this process.
     pub fn on_not_sent(&mut self) -> KeyedStep {
         let State::Sent { stamp, .. } = &self.state else { return KeyedStep::Drop };
         self.after = stamp.attempt;
         self.choose_again(Proof::NeverSent)
     }
 
-    /// The daemon refused the run before starting it, and will never start it.
+    /// Handles the daemon's refusal of a run that it has not started, and never will.
     pub fn on_refused(&mut self, stamp: &Stamp) -> KeyedStep {
         if !self.waits_for(stamp) {
             return KeyedStep::Drop;
@@ -181,7 +181,7 @@
         self.choose_again(Proof::Refused)
     }
 
-    /// The run's end came: its answer, or that its end is not known.
+    /// Handles the end of the run: its answer, or the report that its outcome is unknown.
     pub fn on_end(&mut self, stamp: &Stamp) -> KeyedStep {
         if !self.waits_for(stamp) {
             return KeyedStep::Drop;
@@ -189,13 +189,13 @@
         self.end(KeyedStep::Finish)
     }
 
-    /// Takes what the daemon tells of the record that it was asked for.
-    pub fn on_record_status<A>(&mut self, stamp: &Stamp, told: &RecordStatus<A>) -> KeyedStep {
+    /// Handles the status of the record that the daemon was asked for.
+    pub fn on_record_status<A>(&mut self, stamp: &Stamp, status: &RecordStatus<A>) -> KeyedStep {
         if !self.waits_for(stamp) {
             return KeyedStep::Drop;
         }
         self.unreached = 0;
-        match told {
+        match status {
             RecordStatus::Ended(_) => self.end(KeyedStep::Finish),
             RecordStatus::Running => self.follow(*stamp),
             RecordStatus::NotSeen => KeyedStep::Wait,
@@ -213,7 +213,7 @@
         }
     }
 
-    /// The daemon that the record names is no more.
+    /// Handles the report that the incarnation of the daemon in the record has ended.
     pub fn on_gone(&mut self, stamp: &Stamp) -> KeyedStep {
         if !self.waits_for(stamp) {
             return KeyedStep::Drop;
@@ -222,8 +222,8 @@
         self.unknown(format!("it was given to {target}, which is gone: it may have run"))
     }
 
-    /// The link to the daemon closed: ask what became of a run that was sent. A question that was
-    /// under way may be lost.
+    /// Handles a closed link to the daemon: asks for the status of a run that was sent. If a status
+    /// request was pending, it may be lost, and this counts as a failure to reach the daemon.
     pub fn on_link_lost(&mut self) -> KeyedStep {
         match self.state {
             State::Sent { stamp, target } => self.ask(stamp, target, true),
@@ -232,7 +232,7 @@
         }
     }
 
-    /// The daemon to be asked could not be reached.
+    /// Handles a failure to reach the daemon that is to be asked.
     pub fn on_unreached(&mut self) -> KeyedStep {
         self.unreached += 1;
         if self.unreached < MAX_UNREACHED {
@@ -242,7 +242,8 @@
         self.unknown(format!("it was given to {target}, which can't be reached: it may have run"))
     }
 
-    /// Nothing came for a while: ask again. A run that has not come by now is kept from starting.
+    /// Handles a timeout: sends the claim or the status request again. A status request that got no answer is repeated
+    /// with a fence, so that a run that has not arrived by then never starts.
     pub fn on_wait_over(&mut self) -> KeyedStep {
         match &mut self.state {
             State::Claiming { claim, times } if *times < MAX_CLAIMS => {
@@ -261,7 +262,7 @@
             State::Following { stamp, target } => {
                 KeyedStep::Ask { stamp: *stamp, target: *target, fence: false }
             }
-            // Its answer, or the run itself, may be lost.
+            // The run or its answer may be lost.
             State::Sent { stamp, target } => {
                 let (stamp, target) = (*stamp, *target);
                 self.ask(stamp, target, false)
@@ -270,9 +271,10 @@
         }
     }
 
-    /// The link to the holder of its shard closed, and the claim or its answer may be lost: the claim
-    /// to send again. It isn't counted among [`MAX_CLAIMS`], which bound how long the ledger is
-    /// waited for: a holder that just died refuses links at once, for as long as it is still named.
+    /// Handles a closed link to the holder of the shard: the claim or its answer may be lost, so the
+    /// claim is sent again. This doesn't count towards [`MAX_CLAIMS`], which bounds how long the request
+    /// waits for the ledger: a holder that just died refuses links at once, as long as it is still
+    /// listed as the holder.
     pub fn on_holder_lost(&self) -> KeyedStep {
         match &self.state {
             State::Claiming { claim, .. } => KeyedStep::Claim(claim.clone()),
@@ -280,7 +282,8 @@
         }
     }
 
-    /// Gives up: not run if nothing that runs, or might, is known of the key; else unknown.
+    /// Abandons the request. Its outcome is "not run" if it knows of no run of the key that may have started, else
+    /// "unknown".
     pub fn abandon(&mut self, refusal: Refusal, detail: &str) -> KeyedStep {
         match self.state {
             State::Choosing | State::Claiming { .. } => {
@@ -292,7 +295,7 @@
         }
     }
 
-    /// A refusal with the last proof that nothing runs.
+    /// Returns a refusal with the last proof that nothing runs.
     fn not_run(&self, refusal: Refusal, detail: impl Into<String>) -> NotRun {
         match self.proof {
             Proof::NeverSent => NotRun::never_sent(refusal, detail),
--- a/crates/core/src/process/ledger/mod.rs
+++ b/crates/core/src/process/ledger/mod.rs
@@ -1,8 +1,8 @@
 //! The run-once ledger: a non-idempotent request with a key runs at most once.
 //!
-//! A [`Holder`] keeps one shard of the ledger. A [`KeyedRun`] takes one request of an entry
-//! through it, and the [`StartTable`] of the daemon that runs it has the last word: it starts
-//! each record once, and never one that it has told somebody it would not start.
+//! A [`Holder`] commits the records of one shard of the ledger. A [`KeyedRun`] is the state of one
+//! request with a key at its entry. The [`StartTable`] of the daemon that runs the request decides
+//! whether a record starts: each starts at most once, and never after it was reported as not run.
 
 mod head;
 mod holder;
@@ -22,6 +22,7 @@
 pub use start_table::*;
 
 use head::{
-    Known, archive_ref, decode_batches, decode_keys, encode_batches, encode_keys, short_keys,
+    CommittedRecord, archive_ref, decode_batches, decode_keys, encode_batches, encode_keys,
+    short_keys,
 };
-use index::{Found, Index, Judgement};
+use index::{ClaimCheck, Index, Lookup};
--- a/crates/core/src/process/ledger/pacer.rs
+++ b/crates/core/src/process/ledger/pacer.rs
@@ -1,64 +1,64 @@
-//! How often a holder may write: within its share of the budget, less while the store struggles.
+//! Write rate of a holder: limited to its share of the budget, and lower while the store is overloaded.
 
 use crate::clock::Clock;
 use std::time::{Duration, Instant};
 
-/// A write that takes longer than this counts as a sign of overload.
+/// A write that takes longer than this counts as overload of the store.
 const SLOW_WRITE: Duration = Duration::from_millis(250);
-/// Part of the rate that is left after a sign of overload.
-const DECREASE: f64 = 0.5;
-/// Part of the highest rate that each good write adds.
-const INCREASE: f64 = 0.02;
-/// Part of the highest rate below which it never falls.
-const FLOOR: f64 = 0.02;
-/// Part of the highest rate with which it begins again after an outage.
-const RESTART: f64 = 0.25;
+/// Factor by which overload multiplies the rate.
+const DECREASE_FACTOR: f64 = 0.5;
+/// Fraction of the maximum rate that each successful write adds.
+const INCREASE_FRACTION: f64 = 0.02;
+/// Lower bound of the rate, as a fraction of the maximum rate.
+const MIN_FRACTION: f64 = 0.02;
+/// Highest rate after an outage, as a fraction of the maximum rate.
+const RESTART_FRACTION: f64 = 0.25;
 
-/// Additive increase, multiplicative decrease of the rate of writes.
+/// Controls the rate of writes by additive increase and multiplicative decrease.
 #[derive(Clone, Debug)]
 pub struct Pacer<C> {
     clock: C,
-    most: f64,
+    max_rate: f64,
     rate: f64,
     last: Option<Instant>,
 }
 
 impl<C: Clock> Pacer<C> {
-    /// Begins with the highest rate, `most` writes a second.
-    pub fn new(most: f64, clock: C) -> Pacer<C> {
-        Pacer { clock, most, rate: most, last: None }
+    /// Creates a pacer that starts at its maximum rate of `max_rate` writes per second.
+    pub fn new(max_rate: f64, clock: C) -> Pacer<C> {
+        Pacer { clock, max_rate, rate: max_rate, last: None }
     }
 
-    /// When the next write may start; none if there was no write before it.
+    /// Returns when the next write may start; `None` if there was no write yet.
     pub fn next(&self) -> Option<Instant> {
         let interval = Duration::from_secs_f64(1.0 / self.rate);
         self.last.map(|last| last + interval)
     }
 
-    /// A write starts.
-    pub fn started(&mut self) {
+    /// Records the start of a write.
+    pub fn on_start(&mut self) {
         self.last = Some(self.clock.now());
     }
 
-    /// The write that started last took effect, or clashed: the store is well.
-    pub fn went_well(&mut self) {
+    /// Raises the rate after a write took effect or met a version conflict, unless the write was slow.
+    pub fn on_success(&mut self) {
         if self.last.is_some_and(|last| self.clock.now() - last > SLOW_WRITE) {
-            return self.overloaded();
+            return self.on_overload();
         }
-        self.rate = (self.rate + self.most * INCREASE).min(self.most);
+        self.rate = (self.rate + self.max_rate * INCREASE_FRACTION).min(self.max_rate);
     }
 
-    /// The store refused for its rate, was slow, or gave no answer.
-    pub fn overloaded(&mut self) {
-        self.rate = (self.rate * DECREASE).max(self.most * FLOOR);
+    /// Lowers the rate after the store limited the rate, was slow, or gave no answer.
+    pub fn on_overload(&mut self) {
+        self.rate = (self.rate * DECREASE_FACTOR).max(self.max_rate * MIN_FRACTION);
     }
 
-    /// The store was down: begin gently, so that its return brings no burst.
-    pub fn went_down(&mut self) {
-        self.rate = self.rate.min(self.most * RESTART);
+    /// Limits the rate after an outage, so that the recovered store gets no burst of writes.
+    pub fn on_outage(&mut self) {
+        self.rate = self.rate.min(self.max_rate * RESTART_FRACTION);
     }
 
-    /// Writes a second at present.
+    /// Returns the current rate in writes per second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
--- a/crates/core/src/process/ledger/record.rs
+++ b/crates/core/src/process/ledger/record.rs
@@ -1,36 +1,36 @@
-//! Records of the ledger: who may run which key, and where.
+//! Records of the ledger: which request may run which key, and at which daemon.
 
 use crate::id::{Attempt, Revision};
 use crate::request::{Peer, RequestKey};
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Names a key within its workspace: half of a SHA-256 of both.
+/// Identifies an idempotency key within its workspace: the first half of a SHA-256 of both.
 pub type RecordKey = [u8; 16];
-/// Tells one request from another with the same key: half of a SHA-256 of all that matters.
+/// Distinguishes requests with the same key: the first half of a SHA-256 of the parts that matter.
 pub type Fingerprint = [u8; 16];
 /// Index of a shard of the ledger.
 pub type Shard = u16;
-/// Milliseconds since the Unix epoch; only the retention of keys reads it.
+/// Milliseconds since the Unix epoch; used only for the retention of keys.
 pub type UnixMs = u64;
 
-/// The key under which a caller's `Idempotency-Key` is recorded.
+/// Returns the key under which a caller's `Idempotency-Key` is recorded.
 pub fn record_key(workspace: &str, idempotency_key: &str) -> RecordKey {
     half_digest(&[workspace.as_bytes(), idempotency_key.as_bytes()])
 }
 
-/// The fingerprint of a request: method, path, model, body, whatever tells it from another.
+/// Returns the fingerprint of a request from its distinguishing parts: method, path, model, body and so on.
 pub fn fingerprint(parts: &[&[u8]]) -> Fingerprint {
     half_digest(parts)
 }
 
-/// The shard that keeps a key.
+/// Returns the shard that stores a key.
 pub fn shard_of(key: &RecordKey, shards: Shard) -> Shard {
     let tail = u64::from_le_bytes(key[8..].try_into().expect("a key has 16 bytes"));
     (tail % u64::from(shards)) as Shard
 }
 
-/// The first half of a key, which the index of old archives keeps.
+/// Returns the first half of a key, which the index keeps for merged archives.
 pub(super) fn short_key(key: &RecordKey) -> u64 {
     u64::from_le_bytes(key[..8].try_into().expect("a key has 16 bytes"))
 }
@@ -44,14 +44,14 @@
     digest.finalize()[..16].try_into().expect("a digest has 32 bytes")
 }
 
-/// Asks the holder of a shard for the right to run a key.
+/// Request to the holder of a shard for the right to run a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The request that asks, and that alone may send the run.
+    /// The claiming request, the only one that may send the run.
     pub owner: RequestKey,
     /// The key.
     pub key: RecordKey,
-    /// What is to be run under it.
+    /// Fingerprint of the request to run under the key.
     pub fingerprint: Fingerprint,
     /// The last attempt that is proven not to have run; 0 if none was ever recorded.
     pub after: Attempt,
@@ -59,41 +59,41 @@
     pub target: Peer,
 }
 
-/// One committed right to run a key once, at one daemon.
+/// A committed right to run a key once, at one daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The key.
     pub key: RecordKey,
-    /// What is to be run under it.
+    /// Fingerprint of the request to run under the key.
     pub fingerprint: Fingerprint,
-    /// Its number among the attempts at the key.
+    /// Number of this attempt at the key.
     pub attempt: Attempt,
-    /// The daemon that is to run it, at its incarnation.
+    /// The daemon that is to run it, with its incarnation.
     pub target: Peer,
-    /// The request that alone may send the run.
+    /// The only request that may send the run.
     pub owner: RequestKey,
 }
 
-/// Records that were committed by one conditional put.
+/// Records that were committed by one conditional put of the head.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// The version of the head on which the put was conditional: known before the put, so that a
-    /// lost answer leaves no doubt, and growing from batch to batch.
+    /// The version of the head on which the put was conditional. It increases from batch to batch,
+    /// and is known before the put, so that it does not depend on an answer that may be lost.
     pub base: Revision,
-    /// When it was put.
+    /// When the batch was put.
     pub at_ms: UnixMs,
     /// The records.
     pub records: Vec<Record>,
 }
 
-/// Goes with a run to its daemon, which judges by it whether the run may still start.
+/// Sent with a run to its daemon, which decides by it whether the run may still start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Stamp {
-    /// The shard that keeps the key.
+    /// The shard that stores the key.
     pub shard: Shard,
     /// The key.
     pub key: RecordKey,
-    /// The attempt.
+    /// The attempt at the key.
     pub attempt: Attempt,
     /// [`Batch::base`] of its record.
     pub base: Revision,
@@ -104,7 +104,7 @@
 pub enum ClaimAnswer {
     /// The claim is recorded: its owner may send the run, with this stamp.
     Granted(Stamp),
-    /// Another record of the key is in force: ask its daemon.
+    /// Another record of the key is in force: its daemon is to be asked.
     Existing {
         /// The record's stamp.
         stamp: Stamp,
@@ -113,13 +113,13 @@
     },
     /// The key was used for another request.
     Mismatch,
-    /// Nothing is granted: the store can't be written, or there is no room.
+    /// Nothing is granted: the store can't be written, or the shard has no free capacity.
     Refused {
-        /// Whether the store is the cause; else it is room.
+        /// True if the store is the cause, false if capacity is.
         store_down: bool,
-        /// In a plain sentence.
+        /// The reason as a sentence.
         detail: String,
-        /// When to come back, in milliseconds.
+        /// When to retry, in milliseconds.
         retry_after_ms: u64,
     },
 }
--- a/crates/core/src/process/ledger/seen_requests.rs
+++ b/crates/core/src/process/ledger/seen_requests.rs
@@ -1,35 +1,36 @@
-//! What a daemon remembers of requests without a key: a repeated message never runs twice.
+//! Detection of repeated requests without a key at a daemon, so that a repeated message never runs twice.
 
 use crate::id::{Attempt, Incarnation, Sequence};
 use crate::request::RequestKey;
 use std::collections::{HashMap, VecDeque};
 
-/// Incarnations of entries whose forgotten requests are marked.
+/// Maximum number of entry incarnations for which the highest forgotten sequence is kept.
 const MAX_ENTRIES: usize = 4096;
 
-/// What is to be done with a request that came in.
+/// What to do with a request that arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SeenVerdict {
-    /// It is new.
+    /// The request or the attempt is new.
     New,
-    /// This attempt or a higher one came before: drop it.
+    /// This attempt or a higher one arrived before: drop it.
     Repeated,
-    /// Whether it came before is remembered no longer.
+    /// The table no longer knows whether the request arrived before.
     Forgotten,
 }
 
-/// Requests without a key that came in, started or refused, with their highest attempt.
+/// Requests without a key that arrived, whether started or refused, with their highest attempt.
 #[derive(Clone, Debug)]
 pub struct SeenRequests {
     attempts: HashMap<RequestKey, Attempt>,
     order: VecDeque<RequestKey>,
+    /// The highest sequence of a forgotten request, for each entry incarnation.
     forgotten: HashMap<Incarnation, Sequence>,
     forgotten_order: VecDeque<Incarnation>,
     max_requests: usize,
 }
 
 impl SeenRequests {
-    /// An empty table of at most `max_requests` requests.
+    /// Creates an empty table of at most `max_requests` requests.
     pub fn new(max_requests: usize) -> SeenRequests {
         SeenRequests {
             attempts: HashMap::new(),
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Judges an attempt that came in, and remembers it.
+    /// Records an attempt that arrived, and returns what to do with it.
     pub fn see(&mut self, request: RequestKey, attempt: Attempt) -> SeenVerdict {
         if let Some(seen) = self.attempts.get_mut(&request) {
             if attempt <= *seen {
@@ -61,12 +62,12 @@
         SeenVerdict::New
     }
 
-    /// How many requests it remembers.
+    /// Returns the number of requests in the table.
     pub fn len(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Whether it remembers none.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.attempts.is_empty()
     }
--- a/crates/core/src/process/ledger/start_table.rs
+++ b/crates/core/src/process/ledger/start_table.rs
@@ -1,42 +1,42 @@
-//! What a daemon remembers of the records that it was given: the last word on what starts.
+//! Table of a daemon's records, which decides whether a run starts.
 
 use super::{RecordKey, Shard, Stamp};
 use crate::id::Revision;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, VecDeque};
 
-/// The most requests that follow one run.
+/// Maximum number of requests that follow one run.
 pub const MAX_FOLLOWERS: usize = 64;
 
-/// What is to be done with a run that came in.
+/// What to do with a run that arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartVerdict {
-    /// Start it, now or after a wait; it counts as started.
+    /// Start it, at once or after a wait; the table counts it as started.
     Start,
-    /// It was started, or refused, before: drop it.
+    /// It was started or refused before: drop it.
     Repeated,
-    /// It will never start here: it is not run.
+    /// A fence or a later record of the key prevents it from ever starting here: it is not run.
     Fenced,
-    /// Whether it ran is remembered no longer.
+    /// The table no longer knows whether it ran.
     Forgotten,
-    /// There is no room to remember it, so it will never start here: it is not run.
+    /// The table is full of running records, so it will never start here: it is not run.
     Full,
 }
 
-/// What a daemon says of a record that it is asked for.
+/// Status of a record, as its daemon reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordStatus<A> {
-    /// It waits or runs; whoever asked hears of its end.
+    /// It waits or runs. The request that asked is notified of its end.
     Running,
     /// It ended, with this answer.
     Ended(A),
-    /// It ended, and its answer is kept no longer.
+    /// It ended, and its answer was dropped to free memory.
     AnswerDropped,
-    /// It has not come yet, and may come.
+    /// Its run has not arrived yet, and may still arrive.
     NotSeen,
     /// It has not started, and never will.
     Tombstoned,
-    /// Whether it ran is remembered no longer.
+    /// The table no longer knows whether it ran.
     Forgotten,
 }
 
@@ -55,24 +55,28 @@
     bytes: usize,
 }
 
-/// The records that a daemon was given. `A` is an answer, `F` names who follows a run.
+/// The records that a daemon received. `A` is an answer, `F` identifies a follower of a run.
 ///
-/// All is bounded; what is forgotten leaves one number a shard behind, so that forgetting never
-/// turns into "never seen".
+/// Its size is bounded. For the records that it forgets it keeps one revision per shard, so that a
+/// forgotten record is never reported as not seen.
 #[derive(Clone, Debug)]
 pub struct StartTable<A, F> {
     started: HashMap<RecordKey, Started<A, F>>,
+    /// Records that ended or were refused, oldest first.
     ended: VecDeque<(RecordKey, Revision)>,
+    /// Records whose answer is kept, oldest first.
     with_answer: VecDeque<(RecordKey, Revision)>,
     answer_bytes: usize,
+    /// For each shard: a record with a lower base that has not started never will.
     fences: HashMap<Shard, Revision>,
+    /// For each shard: a record with a lower base that isn't in the table may have run.
     forgotten: HashMap<Shard, Revision>,
     max_records: usize,
     max_answer_bytes: usize,
 }
 
 impl<A: Clone, F: PartialEq> StartTable<A, F> {
-    /// An empty table of at most `max_records` records and `max_answer_bytes` of kept answers.
+    /// Creates an empty table of at most `max_records` records and `max_answer_bytes` of kept answers.
     pub fn new(max_records: usize, max_answer_bytes: usize) -> StartTable<A, F> {
         StartTable {
             started: HashMap::new(),
@@ -86,7 +90,7 @@
         }
     }
 
-    /// Judges a run that came in.
+    /// Decides whether a run that arrived starts, and records it.
     pub fn start(&mut self, stamp: &Stamp) -> StartVerdict {
         if let Some(known) = self.started.get(&stamp.key) {
             if known.base == stamp.base {
@@ -96,13 +100,13 @@
                 return StartVerdict::Fenced;
             }
         }
-        if stamp.base < of_shard(&self.forgotten, stamp.shard) {
+        if stamp.base < mark_of_shard(&self.forgotten, stamp.shard) {
             return StartVerdict::Forgotten;
         }
-        if stamp.base < of_shard(&self.fences, stamp.shard) {
+        if stamp.base < mark_of_shard(&self.fences, stamp.shard) {
             return StartVerdict::Fenced;
         }
-        if !self.make_room() {
+        if !self.evict_ended() {
             self.raise_fence(stamp);
             return StartVerdict::Full;
         }
@@ -110,12 +114,12 @@
         StartVerdict::Start
     }
 
-    /// A run that was to start is refused: it never starts.
+    /// Marks a run that was about to start as refused, so that it never starts. Returns its followers.
     pub fn refuse(&mut self, stamp: &Stamp) -> Vec<F> {
         self.finish(stamp, State::Refused, 0)
     }
 
-    /// A run ended. Returns who follows it; `bytes` is the size of the answer.
+    /// Marks a run as ended, with an answer of size `bytes`. Returns its followers.
     pub fn end(&mut self, stamp: &Stamp, answer: A, bytes: usize) -> Vec<F> {
         let followers = self.finish(stamp, State::Ended(Some(answer)), bytes);
         self.with_answer.push_back((stamp.key, stamp.base));
@@ -126,7 +130,8 @@
         followers
     }
 
-    /// Tells of a record. With `fence`, one that was not seen yet will never start.
+    /// Returns the status of a record, and adds the follower to a running one. With `fence`, a record that was not seen
+    /// yet will never start.
     pub fn ask(&mut self, stamp: &Stamp, fence: bool, follower: F) -> RecordStatus<A> {
         match self.started.get_mut(&stamp.key) {
             Some(known) if known.base > stamp.base => return RecordStatus::Tombstoned,
@@ -143,24 +148,24 @@
             },
             _ => {}
         }
-        if stamp.base < of_shard(&self.forgotten, stamp.shard) {
+        if stamp.base < mark_of_shard(&self.forgotten, stamp.shard) {
             return RecordStatus::Forgotten;
         }
         if fence {
             self.raise_fence(stamp);
         }
-        let fenced = stamp.base < of_shard(&self.fences, stamp.shard);
+        let fenced = stamp.base < mark_of_shard(&self.fences, stamp.shard);
         if fenced { RecordStatus::Tombstoned } else { RecordStatus::NotSeen }
     }
 
-    /// How many records and bytes of answers it holds.
+    /// Returns the number of records and the bytes of kept answers.
     pub fn size(&self) -> (usize, usize) {
         (self.started.len(), self.answer_bytes)
     }
 
-    /// Whatever was committed on this version or a lower one and hasn't started never will.
+    /// Prevents every record with this base or a lower one that hasn't started from ever starting.
     fn raise_fence(&mut self, stamp: &Stamp) {
-        raise(&mut self.fences, stamp.shard, stamp.base + 1);
+        raise_mark(&mut self.fences, stamp.shard, stamp.base + 1);
     }
 
     fn finish(&mut self, stamp: &Stamp, state: State<A, F>, bytes: usize) -> Vec<F> {
@@ -185,8 +190,8 @@
         }
     }
 
-    /// Forgets the record that ended first if the table is full; false if all of them run.
-    fn make_room(&mut self) -> bool {
+    /// Forgets the records that ended first while the table is full. Returns false if all of them run.
+    fn evict_ended(&mut self) -> bool {
         while self.started.len() >= self.max_records {
             let Some((key, base)) = self.ended.pop_front() else { return false };
             self.forget(&key, base);
@@ -204,7 +209,7 @@
             State::Refused => &mut self.fences,
             State::Running(_) | State::Ended(_) => &mut self.forgotten,
         };
-        raise(marks, known.shard, base + 1);
+        raise_mark(marks, known.shard, base + 1);
     }
 
     fn drop_answer(&mut self, key: &RecordKey, base: Revision) {
@@ -217,11 +222,11 @@
     }
 }
 
-fn of_shard(marks: &HashMap<Shard, Revision>, shard: Shard) -> Revision {
+fn mark_of_shard(marks: &HashMap<Shard, Revision>, shard: Shard) -> Revision {
     marks.get(&shard).copied().unwrap_or_default()
 }
 
-fn raise(marks: &mut HashMap<Shard, Revision>, shard: Shard, to: Revision) {
+fn raise_mark(marks: &mut HashMap<Shard, Revision>, shard: Shard, to: Revision) {
     let mark = marks.entry(shard).or_default();
     *mark = to.max(*mark);
 }
--- a/crates/core/tests/ledger/besides.rs
+++ b/crates/core/tests/ledger/besides.rs
@@ -1,4 +1,4 @@
-//! The model's daemons beside services.
+//! The simulated daemons that run requests at services.
 
 use crate::dice::Dice;
 use crate::net::{BESIDE, Envelope, Msg, RunNumber, peer};
@@ -8,7 +8,7 @@
 use sorrellock_core::request::{Peer, RequestKey};
 use std::collections::HashMap;
 
-/// Small, so that records and answers are forgotten in each run.
+/// Small, so that every schedule makes the table forget records and answers.
 const MAX_RECORDS: usize = 12;
 const MAX_ANSWER_BYTES: usize = 160;
 const ANSWER_BYTES: usize = 20;
@@ -26,7 +26,7 @@
     pub incarnation: Incarnation,
     table: StartTable<RunNumber, (Peer, RequestKey)>,
     work: Vec<Waiting>,
-    /// The incarnation that got each run message first: a link delivers a message to one process.
+    /// The incarnation that each run message reached first, as a link delivers a message to one incarnation only.
     delivered: HashMap<u64, Incarnation>,
     pub refused_earlier: u64,
 }
@@ -47,7 +47,7 @@
         peer(BESIDE, self.number, self.incarnation)
     }
 
-    /// Dies and starts anew: all that it knew is gone.
+    /// Restarts the daemon, which loses its state.
     pub fn restart(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
         self.table = StartTable::new(MAX_RECORDS, MAX_ANSWER_BYTES);
@@ -96,12 +96,12 @@
         }
     }
 
-    /// Whether a run message came here, to any incarnation.
+    /// Whether a run message arrived at any incarnation of the daemon.
     pub fn saw(&self, id: u64) -> bool {
         self.delivered.contains_key(&id)
     }
 
-    /// Takes one piece of work a step on: refuses it, runs it, or answers it.
+    /// Advances a random run by one step: refuses, runs, or answers it.
     pub fn work(&mut self, dice: &mut Dice, oracle: &mut Oracle, out: &mut Vec<Envelope>) {
         if self.work.is_empty() {
             return;
--- a/crates/core/tests/ledger/claims.rs
+++ b/crates/core/tests/ledger/claims.rs
@@ -1,10 +1,10 @@
-//! How long a request waits for the holder of its key.
+//! Tests of how long a request waits for the holder of its key.
 
 use crate::net::{BESIDE, peer};
 use sorrellock_core::process::ledger::{KeyedRun, KeyedStep, MAX_CLAIMS};
 use sorrellock_core::request::RequestKey;
 
-/// A request that has claimed its key.
+/// Returns a request that has claimed its key.
 fn claiming() -> KeyedRun {
     let owner = RequestKey { entry: 1, sequence: 1 };
     let mut run = KeyedRun::new(owner, [7; 16], [8; 16]);
--- a/crates/core/tests/ledger/dice.rs
+++ b/crates/core/tests/ledger/dice.rs
@@ -1,4 +1,4 @@
-//! Seeded random choices.
+//! Seeded random numbers.
 
 /// A small generator (splitmix64): the same seed gives the same schedule on any machine.
 pub struct Dice(u64);
@@ -16,12 +16,12 @@
         z ^ (z >> 31)
     }
 
-    /// A number below `end`.
+    /// Returns a number below `end`.
     pub fn below(&mut self, end: usize) -> usize {
         (self.next() % end.max(1) as u64) as usize
     }
 
-    /// True `percent` times in a hundred.
+    /// Returns true with a probability of `percent` in a hundred.
     pub fn percent(&mut self, percent: usize) -> bool {
         self.below(100) < percent
     }
--- a/crates/core/tests/ledger/differential.rs
+++ b/crates/core/tests/ledger/differential.rs
@@ -1,4 +1,4 @@
-//! The ledger without faults against a naive one in a single process.
+//! Differential tests: the ledger without faults against a naive one in a single process.
 
 use crate::dice::Dice;
 use crate::store::Store;
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A claim's fate, without versions.
+/// The answer to a claim, without versions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Fate {
     Granted(Attempt),
@@ -22,7 +22,7 @@
     Refused,
 }
 
-/// The whole ledger as a map.
+/// A ledger that is a map in memory.
 #[derive(Default)]
 struct Naive {
     keys: HashMap<RecordKey, (Fingerprint, Attempt, RequestKey, Peer)>,
@@ -82,7 +82,7 @@
     }
 }
 
-/// Drives a holder on a store without faults until it has nothing to do.
+/// Drives a holder with a store without faults until it is idle.
 fn settle(holder: &mut Holder<ManualClock>, store: &mut Store, clock: &ManualClock) {
     let mut dice = Dice::new(0);
     loop {
--- a/crates/core/tests/ledger/entries.rs
+++ b/crates/core/tests/ledger/entries.rs
@@ -1,4 +1,4 @@
-//! The model's entries, and their callers.
+//! The simulated entries and their callers.
 
 use crate::net::{BESIDE, ENTRY, Envelope, HOLDER, Msg, addr, peer};
 use crate::oracle::{Final, Oracle};
@@ -9,7 +9,7 @@
 use sorrellock_core::request::{Peer, Refusal, RequestKey};
 use std::collections::BTreeMap;
 
-/// Attempts at one key before a request gives up.
+/// Number of refused attempts at one key before a request is abandoned.
 const MAX_ATTEMPTS: u32 = 6;
 
 pub struct Entry {
@@ -20,13 +20,13 @@
     next_message: u64,
 }
 
-/// What an entry of the model sees of the rest.
+/// The rest of the simulation, as an entry sees it.
 pub struct Around<'a> {
     pub oracle: &'a mut Oracle,
     pub out: &'a mut Vec<Envelope>,
-    /// The daemon that a route choice would take.
+    /// The daemon that routing chooses.
     pub chosen: Peer,
-    /// The holder that this entry believes in.
+    /// The holder that this entry sends claims to.
     pub holder: usize,
     pub shards: u16,
 }
@@ -40,7 +40,7 @@
         peer(ENTRY, self.number, self.incarnation)
     }
 
-    /// Dies and starts anew; its callers see their connections cut.
+    /// Restarts the entry; its callers lose their connections.
     pub fn restart(&mut self, incarnation: Incarnation) {
         *self = Entry::new(self.number, incarnation);
     }
--- a/crates/core/tests/ledger/fuzz.rs
+++ b/crates/core/tests/ledger/fuzz.rs
@@ -1,4 +1,4 @@
-//! Stateful fuzzing: seeded schedules of faults against an oracle that counts runs per key.
+//! Stateful fuzzing with seeded schedules of faults, checked by an oracle that counts runs per key.
 
 use crate::oracle::Final;
 use crate::world::World;
@@ -7,7 +7,7 @@
 
 const STEPS: usize = 6_000;
 const SEEDS: u64 = 300;
-/// Seeds of a long run by hand.
+/// Number of seeds if SORRELLOCK_FUZZ_LONG is set.
 const LONG_SEEDS: u64 = 20_000;
 
 #[derive(Debug, Default)]
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A fuzz that never meets what it is for proves nothing.
+    /// Checks that the schedules reached every outcome and fault that the test is meant to cover.
     fn check_coverage(&self) {
         let met = [
             ("done", self.done),
@@ -62,7 +62,7 @@
             ("downs", self.holders.downs),
         ];
         for (what, times) in met {
-            assert!(times > 0, "the schedules never met: {what}; {self:?}");
+            assert!(times > 0, "no schedule covered: {what}; {self:?}");
         }
     }
 }
--- a/crates/core/tests/ledger/holders.rs
+++ b/crates/core/tests/ledger/holders.rs
@@ -1,4 +1,4 @@
-//! The model's holders, with the calls that they have under way at the store.
+//! The simulated holders, with their pending calls to the store.
 
 use crate::dice::Dice;
 use crate::net::{Envelope, Msg};
@@ -10,7 +10,7 @@
 };
 use sorrellock_core::request::Peer;
 
-/// A call under way: it takes effect, then its answer arrives, each at some later step.
+/// A pending call: it takes effect, then its reply arrives, each at some later step.
 #[derive(Clone)]
 struct Under {
     call: StoreCall,
@@ -22,7 +22,7 @@
     pub incarnation: Incarnation,
     pub holders: Vec<Holder<ManualClock>>,
     under: Vec<Option<Under>>,
-    /// Calls whose answer was given up, and that may take effect yet.
+    /// Calls whose reply was lost, and that may still take effect.
     late: Vec<StoreCall>,
     cfg: HolderConfig,
     clock: ManualClock,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Dies and starts anew. What it had under way at the store may take effect yet.
+    /// Restarts the process. Its pending calls may still take effect.
     pub fn restart(&mut self, incarnation: Incarnation) {
         self.counts.extend(self.holders.iter().map(Holder::counts));
         let calls = self.under.iter().flatten().filter(|under| under.reply.is_none());
@@ -67,7 +67,7 @@
         self.holders[usize::from(shard)].claim(from, claim);
     }
 
-    /// Lets a shard go one step on: a call begins, takes effect, or is answered.
+    /// Advances a shard by one step: a call starts, takes effect, or is answered.
     pub fn step(
         &mut self,
         shard: usize,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Makes a call that was given up take effect after all.
+    /// Executes a call whose reply was reported lost.
     pub fn late_effect(&mut self, store: &mut Store, dice: &mut Dice) {
         if !self.late.is_empty() {
             let call = self.late.swap_remove(dice.below(self.late.len()));
--- a/crates/core/tests/ledger/main.rs
+++ b/crates/core/tests/ledger/main.rs
@@ -1,4 +1,4 @@
-//! The run-once ledger against oracles: a naive one, and a count of runs under faults.
+//! Tests of the run-once ledger: against a naive ledger, and under faults with an oracle that counts runs.
 
 mod besides;
 mod claims;
--- a/crates/core/tests/ledger/net.rs
+++ b/crates/core/tests/ledger/net.rs
@@ -1,11 +1,11 @@
-//! The messages of the model.
+//! Messages and addresses of the simulated processes.
 
 use sorrellock_core::id::{Attempt, Incarnation};
 use sorrellock_core::process::ledger::{Claim, ClaimAnswer, RecordStatus, Stamp};
 use sorrellock_core::request::{Peer, RequestKey};
 use std::net::SocketAddr;
 
-/// What a run gives: the number of the run in the whole model.
+/// The answer of a run: its number among all runs of the simulation.
 pub type RunNumber = u64;
 
 #[derive(Clone, Debug)]
@@ -26,12 +26,12 @@
     pub msg: Msg,
 }
 
-/// The address of process `number` of a role.
+/// Returns the address of process `number` of a role.
 pub fn addr(role: u8, number: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, role], 1000 + number as u16))
 }
 
-/// The number of the process at an address.
+/// Returns the number of the process at an address.
 pub fn number(addr: SocketAddr) -> usize {
     usize::from(addr.port() - 1000)
 }
@@ -40,12 +40,12 @@
 pub const ENTRY: u8 = 2;
 pub const BESIDE: u8 = 3;
 
-/// A process of the model at one incarnation.
+/// Returns a process of the simulation at one incarnation.
 pub fn peer(role: u8, number: usize, incarnation: Incarnation) -> Peer {
     Peer { addr: addr(role, number), incarnation }
 }
 
-/// The role of the process at an address.
+/// Returns the role of the process at an address.
 pub fn role(addr: SocketAddr) -> u8 {
     match addr {
         SocketAddr::V4(addr) => addr.ip().octets()[3],
--- a/crates/core/tests/ledger/oracle.rs
+++ b/crates/core/tests/ledger/oracle.rs
@@ -1,11 +1,11 @@
-//! What must hold, counted from outside.
+//! Checks of the ledger's guarantees, from the runs and the outcomes alone.
 
 use crate::net::RunNumber;
 use sorrellock_core::process::ledger::{Fingerprint, RecordKey};
 use sorrellock_core::request::RequestKey;
 use std::collections::{HashMap, HashSet};
 
-/// A final outcome, as its caller saw it.
+/// The final outcome of a request, as its caller saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Final {
     Done,
@@ -26,12 +26,12 @@
 }
 
 impl Oracle {
-    /// A caller sent a request.
+    /// Records a request that a caller sent.
     pub fn submitted(&mut self, key: RecordKey, body: Fingerprint) {
         self.bodies.entry(key).or_default().insert(body);
     }
 
-    /// A service runs a key for a request.
+    /// Records that a service runs a key for a request, and checks that it may.
     pub fn run(&mut self, key: RecordKey, owner: RequestKey) -> RunNumber {
         self.next_run += 1;
         let before = self.runs.insert(key, self.next_run);
@@ -41,7 +41,7 @@
         self.next_run
     }
 
-    /// A caller got its final outcome.
+    /// Records the final outcome that a caller got, and checks it.
     pub fn finished(&mut self, owner: RequestKey, key: RecordKey, end: Final, run: RunNumber) {
         let before = self.finals.insert(owner, end);
         assert_eq!(before, None, "{owner} was answered twice, the second time {end:?}");
--- a/crates/core/tests/ledger/pacing.rs
+++ b/crates/core/tests/ledger/pacing.rs
@@ -1,4 +1,4 @@
-//! The write rate of a holder: its share of the budget, less while the store struggles.
+//! Tests of a holder's write rate: limited to its share of the budget, and lower while the store is overloaded.
 
 use sorrellock_core::clock::{Clock, ManualClock};
 use sorrellock_core::process::ledger::Pacer;
@@ -6,7 +6,7 @@
 
 const MOST: f64 = 12.5;
 
-/// Writes that start in `seconds`, with a store for which each goes as `outcome` tells.
+/// Returns the number of writes that start within `seconds`; `outcome` reports the result of each to the pacer.
 fn writes(
     pacer: &mut Pacer<ManualClock>,
     clock: &ManualClock,
@@ -17,7 +17,7 @@
     let mut count = 0;
     while clock.now() < end {
         if pacer.next().is_none_or(|at| at <= clock.now()) {
-            pacer.started();
+            pacer.on_start();
             count += 1;
             outcome(pacer);
         }
@@ -31,7 +31,7 @@
     let clock = ManualClock::new();
     let mut pacer = Pacer::new(MOST, clock.clone());
 
-    let count = writes(&mut pacer, &clock, 10, Pacer::went_well);
+    let count = writes(&mut pacer, &clock, 10, Pacer::on_success);
 
     assert!((120..=126).contains(&count), "{count} writes in 10 s");
 }
@@ -41,8 +41,8 @@
     let clock = ManualClock::new();
     let mut pacer = Pacer::new(MOST, clock.clone());
 
-    writes(&mut pacer, &clock, 10, Pacer::overloaded);
-    let count = writes(&mut pacer, &clock, 10, Pacer::overloaded);
+    writes(&mut pacer, &clock, 10, Pacer::on_overload);
+    let count = writes(&mut pacer, &clock, 10, Pacer::on_overload);
 
     assert!(count <= 3, "{count} writes in 10 s");
 }
@@ -53,12 +53,12 @@
     let mut pacer = Pacer::new(MOST, clock.clone());
     let slow = |pacer: &mut Pacer<ManualClock>| {
         clock.advance(Duration::from_millis(400));
-        pacer.went_well();
+        pacer.on_success();
     };
 
     writes(&mut pacer, &clock, 10, slow);
     let slowed = pacer.rate();
-    writes(&mut pacer, &clock, 60, Pacer::went_well);
+    writes(&mut pacer, &clock, 60, Pacer::on_success);
 
     assert!(slowed < MOST / 4.0, "{slowed}");
     assert_eq!(pacer.rate(), MOST);
@@ -69,8 +69,8 @@
     let clock = ManualClock::new();
     let mut pacer = Pacer::new(MOST, clock.clone());
 
-    pacer.went_down();
-    let first_second = writes(&mut pacer, &clock, 1, Pacer::went_well);
+    pacer.on_outage();
+    let first_second = writes(&mut pacer, &clock, 1, Pacer::on_success);
 
     assert!(first_second <= 5, "{first_second} writes in the first second");
 }
--- a/crates/core/tests/ledger/store.rs
+++ b/crates/core/tests/ledger/store.rs
@@ -1,4 +1,4 @@
-//! The model's store: versions, conditions, history for stale reads.
+//! The simulated store, with versions, conditional writes, and a history for stale reads.
 
 use crate::dice::Dice;
 use sorrellock_core::id::Revision;
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Versions of one object, oldest first; `None` is a deletion.
+/// Versions and values of one object, oldest first; the value `None` is a deletion.
 type History = Vec<(Revision, Option<Vec<u8>>)>;
 
 #[derive(Default)]
@@ -18,7 +18,7 @@
 }
 
 impl Store {
-    /// Makes a call take effect. `faults`: it may be refused, or show an older state.
+    /// Executes a call. With `faults` it may be rate limited, and a read may return an older state.
     pub fn apply(&mut self, call: &StoreCall, dice: &mut Dice, faults: bool) -> StoreReply {
         if self.down {
             return StoreReply::Down { detail: "the model's store is down".into() };
--- a/crates/core/tests/ledger/tables.rs
+++ b/crates/core/tests/ledger/tables.rs
@@ -1,4 +1,4 @@
-//! The tables of a daemon: what was started or refused is never started again.
+//! Tests of a daemon's tables: a run that was started or refused never starts again.
 
 use sorrellock_core::process::ledger::{
     RecordStatus, SeenRequests, SeenVerdict, Stamp, StartTable, StartVerdict, record_key,
--- a/crates/core/tests/ledger/world.rs
+++ b/crates/core/tests/ledger/world.rs
@@ -1,4 +1,4 @@
-//! The whole model: several holders, entries and daemons on one store, under a seeded schedule.
+//! The simulation: several holders, entries and daemons with one store, under a seeded schedule.
 
 use crate::besides::Beside;
 use crate::dice::Dice;
@@ -19,9 +19,9 @@
 const ENTRIES: usize = 3;
 const BESIDES: usize = 3;
 const SHARDS: u16 = 2;
-/// Keys that callers use at a time; the window moves on.
+/// Number of keys in use at a time; the window moves with the submitted requests.
 const WINDOW: usize = 10;
-/// Messages under way past which no requests are added.
+/// Number of messages in flight above which no requests are submitted.
 const MAX_MESSAGES: usize = 60;
 
 pub struct World {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// One random step.
+    /// Makes one random step.
     pub fn step(&mut self) {
         self.advance(8);
         match self.dice.below(100) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// No more faults: everything that is open comes to its end.
+    /// Stops all faults and steps until every request has ended. Returns false if that takes too many steps.
     pub fn heal(&mut self) -> bool {
         self.faults = false;
         self.store.down = false;
@@ -116,7 +116,7 @@
         ended.chain(running.map(|holder| holder.counts())).collect()
     }
 
-    /// Objects that a head refers to and that are gone.
+    /// Returns the keys of objects that a head refers to and that don't exist.
     pub fn missing_objects(&mut self) -> Vec<String> {
         let mut missing = Vec::new();
         for shard in 0..SHARDS {
@@ -133,7 +133,7 @@
         missing
     }
 
-    /// Requests that have had no final outcome.
+    /// Returns the requests without a final outcome.
     pub fn open(&self) -> Vec<RequestKey> {
         self.entries.iter().flat_map(|entry| entry.runs.keys().copied()).collect()
     }
@@ -168,7 +168,7 @@
         let shard = self.dice.below(usize::from(SHARDS));
         let holder = &mut self.holders[at];
         holder.step(shard, &mut self.store, &mut self.dice, self.faults, self.now_ms);
-        // What a pause falls between: a step may end before its answers go out.
+        // Under faults the holder may be paused between a step and the sending of its answers.
         if !self.faults || self.dice.percent(80) {
             self.holders[at].take_answers(&mut self.net);
         }
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Delivers a message, not always in order, not always once, not always at all.
+    /// Delivers a random message. Under faults it may be duplicated or lost.
     fn deliver(&mut self) {
         if self.net.is_empty() {
             return;
@@ -203,7 +203,8 @@
         self.hand_over(envelope);
     }
 
-    /// A message is lost; now and then its sender is told that it was never sent.
+    /// Loses a message. If it is a run that never arrived and has no copies, its sender may be notified that it was
+    /// not sent.
     fn lost(&mut self, envelope: &Envelope) {
         let Msg::Run { owner, id, .. } = envelope.msg else { return };
         let copies =
@@ -235,7 +236,7 @@
         }
     }
 
-    /// The entry that a message to a daemon came from.
+    /// Returns the entry that sent a message to a daemon.
     fn sender(&self, msg: &Msg) -> Peer {
         let owner = match msg {
             Msg::Run { owner, .. } | Msg::Ask { owner, .. } => *owner,
@@ -309,7 +310,7 @@
 
     fn at_entry(&mut self, at: usize, act: impl FnOnce(&mut Entry, &mut Around)) {
         let chosen = self.dice.below(BESIDES);
-        // Views of the fleet differ and lag: not all entries believe in the same holder.
+        // Views of the fleet differ and lag, so entries may use different holders for the same shard.
         let holder = if self.dice.percent(30) { self.dice.below(HOLDERS) } else { 0 };
         let mut cx = Around {
             oracle: &mut self.oracle,
