--- a/crates/core/tests/ledger/claims.rs
+++ b/crates/core/tests/ledger/claims.rs
@@ -1,6 +1,6 @@
 //! Tests of how long a request waits for the holder of its key.
 
-use crate::net::{BESIDE, peer};
+use crate::net::{DAEMON, peer};
 use sorrellock_core::process::ledger::{KeyedRun, KeyedStep, MAX_CLAIMS};
 use sorrellock_core::request::RequestKey;
 
@@ -8,7 +8,7 @@
 fn claiming() -> KeyedRun {
     let owner = RequestKey { entry: 1, sequence: 1 };
     let mut run = KeyedRun::new(owner, [7; 16], [8; 16]);
-    run.claim(peer(BESIDE, 0, 2));
+    run.claim(peer(DAEMON, 0, 2));
     run
 }
 
--- a/crates/core/tests/ledger/besides.rs
+++ b/crates/core/tests/ledger/daemons.rs
@@ -1,8 +1,8 @@
 //! The simulated daemons that run requests at services.
 
-use crate::dice::Dice;
-use crate::net::{BESIDE, Envelope, Msg, RunNumber, peer};
+use crate::net::{DAEMON, Envelope, Msg, RunNumber, peer};
 use crate::oracle::Oracle;
+use crate::rng::Rng;
 use sorrellock_core::id::Incarnation;
 use sorrellock_core::process::ledger::{Stamp, StartTable, StartVerdict};
 use sorrellock_core::request::{Peer, RequestKey};
@@ -21,7 +21,7 @@
     run: Option<RunNumber>,
 }
 
-pub struct Beside {
+pub struct DaemonProcess {
     pub number: usize,
     pub incarnation: Incarnation,
     table: StartTable<RunNumber, (Peer, RequestKey)>,
@@ -31,9 +31,9 @@
     pub refused_earlier: u64,
 }
 
-impl Beside {
-    pub fn new(number: usize, incarnation: Incarnation) -> Beside {
-        Beside {
+impl DaemonProcess {
+    pub fn new(number: usize, incarnation: Incarnation) -> DaemonProcess {
+        DaemonProcess {
             number,
             incarnation,
             table: StartTable::new(MAX_RECORDS, MAX_ANSWER_BYTES),
@@ -44,7 +44,7 @@
     }
 
     pub fn peer(&self) -> Peer {
-        peer(BESIDE, self.number, self.incarnation)
+        peer(DAEMON, self.number, self.incarnation)
     }
 
     /// Restarts the daemon, which loses its state.
@@ -59,8 +59,8 @@
             Msg::Run { id, stamp, owner } => self.on_run(to, from, id, stamp, owner, out),
             Msg::Ask { owner, stamp, fence } => {
                 let msg = if to == self.incarnation {
-                    let told = self.table.ask(&stamp, fence, (from, owner));
-                    Msg::Told { owner, stamp, told }
+                    let status = self.table.ask(&stamp, fence, (from, owner));
+                    Msg::Status { owner, stamp, status }
                 } else {
                     Msg::Gone { owner, stamp }
                 };
@@ -97,19 +97,19 @@
     }
 
     /// Whether a run message arrived at any incarnation of the daemon.
-    pub fn saw(&self, id: u64) -> bool {
+    pub fn received(&self, id: u64) -> bool {
         self.delivered.contains_key(&id)
     }
 
     /// Advances a random run by one step: refuses, runs, or answers it.
-    pub fn work(&mut self, dice: &mut Dice, oracle: &mut Oracle, out: &mut Vec<Envelope>) {
+    pub fn work(&mut self, rng: &mut Rng, oracle: &mut Oracle, out: &mut Vec<Envelope>) {
         if self.work.is_empty() {
             return;
         }
-        let at = dice.below(self.work.len());
+        let at = rng.below(self.work.len());
         let waiting = self.work[at];
         match waiting.run {
-            None if dice.percent(15) => self.refuse(at, out),
+            None if rng.percent(15) => self.refuse(at, out),
             None => self.work[at].run = Some(oracle.run(waiting.stamp.key, waiting.owner)),
             Some(run) => self.end(at, run, out),
         }
--- a/crates/core/tests/ledger/differential.rs
+++ b/crates/core/tests/ledger/differential.rs
@@ -1,6 +1,6 @@
 //! Differential tests: the ledger without faults against a naive one in a single process.
 
-use crate::dice::Dice;
+use crate::rng::Rng;
 use crate::store::Store;
 use sorrellock_core::clock::ManualClock;
 use sorrellock_core::id::Attempt;
@@ -15,7 +15,7 @@
 
 /// The answer to a claim, without versions.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Fate {
+enum ClaimOutcome {
     Granted(Attempt),
     Existing(Attempt, Peer),
     Mismatch,
@@ -24,34 +24,34 @@
 
 /// A ledger that is a map in memory.
 #[derive(Default)]
-struct Naive {
+struct NaiveLedger {
     keys: HashMap<RecordKey, (Fingerprint, Attempt, RequestKey, Peer)>,
 }
 
-impl Naive {
-    fn claim(&mut self, claim: &Claim) -> Fate {
+impl NaiveLedger {
+    fn claim(&mut self, claim: &Claim) -> ClaimOutcome {
         let next = (claim.fingerprint, claim.after + 1, claim.owner, claim.target);
         let Some((body, attempt, owner, target)) = self.keys.get(&claim.key).cloned() else {
             if claim.after > 0 {
-                return Fate::Refused;
+                return ClaimOutcome::Refused;
             }
             self.keys.insert(claim.key, next);
-            return Fate::Granted(1);
+            return ClaimOutcome::Granted(1);
         };
         if body != claim.fingerprint {
-            return Fate::Mismatch;
+            return ClaimOutcome::Mismatch;
         }
         if attempt < claim.after {
-            return Fate::Refused;
+            return ClaimOutcome::Refused;
         }
         if attempt == claim.after {
             self.keys.insert(claim.key, next);
-            return Fate::Granted(attempt + 1);
+            return ClaimOutcome::Granted(attempt + 1);
         }
         if owner == claim.owner && attempt == claim.after + 1 {
-            return Fate::Granted(attempt);
+            return ClaimOutcome::Granted(attempt);
         }
-        Fate::Existing(attempt, target)
+        ClaimOutcome::Existing(attempt, target)
     }
 }
 
@@ -60,34 +60,34 @@
     Peer { addr, incarnation: number as u64 }
 }
 
-fn random_claim(dice: &mut Dice, number: usize) -> Claim {
-    let key = number / 6 + dice.below(20);
-    let key = if dice.percent(20) { dice.below(key + 1) } else { key };
-    let body = if dice.percent(5) { "other" } else { "usual" };
+fn random_claim(rng: &mut Rng, number: usize) -> Claim {
+    let key = number / 6 + rng.below(20);
+    let key = if rng.percent(20) { rng.below(key + 1) } else { key };
+    let body = if rng.percent(5) { "other" } else { "usual" };
     Claim {
-        owner: RequestKey { entry: 7, sequence: 1 + dice.below(number + 1) as u64 },
+        owner: RequestKey { entry: 7, sequence: 1 + rng.below(number + 1) as u64 },
         key: record_key("pharmacy", &key.to_string()),
         fingerprint: fingerprint(&[body.as_bytes()]),
-        after: if dice.percent(70) { 0 } else { dice.below(3) as Attempt },
-        target: peer(dice.below(5)),
+        after: if rng.percent(70) { 0 } else { rng.below(3) as Attempt },
+        target: peer(rng.below(5)),
     }
 }
 
-fn fate(answer: ClaimAnswer) -> Fate {
+fn claim_outcome(answer: ClaimAnswer) -> ClaimOutcome {
     match answer {
-        ClaimAnswer::Granted(stamp) => Fate::Granted(stamp.attempt),
-        ClaimAnswer::Existing { stamp, target } => Fate::Existing(stamp.attempt, target),
-        ClaimAnswer::Mismatch => Fate::Mismatch,
-        ClaimAnswer::Refused { .. } => Fate::Refused,
+        ClaimAnswer::Granted(stamp) => ClaimOutcome::Granted(stamp.attempt),
+        ClaimAnswer::Existing { stamp, target } => ClaimOutcome::Existing(stamp.attempt, target),
+        ClaimAnswer::Mismatch => ClaimOutcome::Mismatch,
+        ClaimAnswer::Refused { .. } => ClaimOutcome::Refused,
     }
 }
 
 /// Drives a holder with a store without faults until it is idle.
-fn settle(holder: &mut Holder<ManualClock>, store: &mut Store, clock: &ManualClock) {
-    let mut dice = Dice::new(0);
+fn run_until_idle(holder: &mut Holder<ManualClock>, store: &mut Store, clock: &ManualClock) {
+    let mut rng = Rng::new(0);
     loop {
         match holder.next(0) {
-            HolderStep::Call(call) => holder.on_reply(store.apply(&call, &mut dice, false)),
+            HolderStep::Call(call) => holder.on_reply(store.apply(&call, &mut rng, false)),
             HolderStep::WaitUntil(_) => clock.advance(Duration::from_millis(5)),
             HolderStep::Idle => return,
         }
@@ -98,23 +98,27 @@
 fn the_ledger_answers_as_a_naive_one() {
     for seed in 0..8 {
         println!("seed {seed}");
-        let (clock, mut dice) = (ManualClock::new(), Dice::new(seed));
-        let (mut store, mut naive) = (Store::default(), Naive::default());
+        let (clock, mut rng) = (ManualClock::new(), Rng::new(seed));
+        let (mut store, mut naive) = (Store::default(), NaiveLedger::default());
         let cfg = HolderConfig::new().with_sizes(6, 30, 1_000);
         let mut holder = Holder::new(0, 1, cfg, clock.clone());
 
         for number in 0..1_500 {
-            if dice.percent(1) {
+            if rng.percent(1) {
                 holder = Holder::new(0, 1_000 + number as u64, cfg, clock.clone());
             }
-            let claim = random_claim(&mut dice, number);
+            let claim = random_claim(&mut rng, number);
             let expected = naive.claim(&claim);
             holder.claim(peer(99), claim.clone());
-            settle(&mut holder, &mut store, &clock);
+            run_until_idle(&mut holder, &mut store, &clock);
             let answers = holder.take_answers();
 
             assert_eq!(answers.len(), 1, "seed {seed}, claim {number}");
-            assert_eq!(fate(answers[0].answer.clone()), expected, "seed {seed}: {claim:?}");
+            assert_eq!(
+                claim_outcome(answers[0].answer.clone()),
+                expected,
+                "seed {seed}: {claim:?}"
+            );
         }
     }
 }
@@ -135,12 +139,18 @@
         .collect();
 
     claims.into_iter().for_each(|claim| holder.claim(peer(99), claim));
-    settle(&mut holder, &mut store, &clock);
-    let fates: Vec<Fate> =
-        holder.take_answers().into_iter().map(|answered| fate(answered.answer)).collect();
-
-    let granted = fates.iter().filter(|fate| **fate == Fate::Granted(1)).count();
-    let existing = fates.iter().filter(|fate| **fate == Fate::Existing(1, peer(0))).count();
+    run_until_idle(&mut holder, &mut store, &clock);
+    let claim_outcomes: Vec<ClaimOutcome> =
+        holder.take_answers().into_iter().map(|answered| claim_outcome(answered.answer)).collect();
+
+    let granted = claim_outcomes
+        .iter()
+        .filter(|claim_outcome| **claim_outcome == ClaimOutcome::Granted(1))
+        .count();
+    let existing = claim_outcomes
+        .iter()
+        .filter(|claim_outcome| **claim_outcome == ClaimOutcome::Existing(1, peer(0)))
+        .count();
     assert_eq!((granted, existing), (1, 9));
 }
 
@@ -158,30 +168,30 @@
         after: 0,
         target: peer(1),
     };
-    let mut ask = |claim: Claim, now_ms: u64| -> Fate {
+    let mut claim_at = |claim: Claim, now_ms: u64| -> ClaimOutcome {
         holder.claim(peer(99), claim);
-        let mut dice = Dice::new(0);
+        let mut rng = Rng::new(0);
         loop {
             match holder.next(now_ms) {
-                HolderStep::Call(call) => holder.on_reply(store.apply(&call, &mut dice, false)),
+                HolderStep::Call(call) => holder.on_reply(store.apply(&call, &mut rng, false)),
                 HolderStep::WaitUntil(_) => clock.advance(Duration::from_millis(20)),
                 HolderStep::Idle => break,
             }
         }
-        fate(holder.take_answers().remove(0).answer)
+        claim_outcome(holder.take_answers().remove(0).answer)
     };
 
     for key in 0..40 {
-        assert_eq!(ask(claim(key, key as u64), 1_000), Fate::Granted(1));
+        assert_eq!(claim_at(claim(key, key as u64), 1_000), ClaimOutcome::Granted(1));
     }
-    let within = ask(claim(0, 100), 30_000);
-    let past = ask(claim(0, 101), 100_000);
+    let within = claim_at(claim(0, 100), 30_000);
+    let past = claim_at(claim(0, 101), 100_000);
     for key in 100..110 {
-        ask(claim(key, key as u64), 100_000);
+        claim_at(claim(key, key as u64), 100_000);
     }
 
-    assert_eq!(within, Fate::Existing(1, peer(1)));
-    assert_eq!(past, Fate::Granted(1));
+    assert_eq!(within, ClaimOutcome::Existing(1, peer(1)));
+    assert_eq!(past, ClaimOutcome::Granted(1));
     let objects = store.list("ledger/").len();
     assert!(objects <= 12, "{objects} objects are left of the keys past their retention");
 }
--- a/crates/core/tests/ledger/entries.rs
+++ b/crates/core/tests/ledger/entries.rs
@@ -1,7 +1,7 @@
 //! The simulated entries and their callers.
 
-use crate::net::{BESIDE, ENTRY, Envelope, HOLDER, Msg, addr, peer};
-use crate::oracle::{Final, Oracle};
+use crate::net::{DAEMON, ENTRY, Envelope, HOLDER, Msg, addr, peer};
+use crate::oracle::{Oracle, Outcome};
 use sorrellock_core::id::{Incarnation, Sequence};
 use sorrellock_core::process::ledger::{
     Claim, Fingerprint, KeyedRun, KeyedStep, RecordKey, RecordStatus, Stamp, shard_of,
@@ -21,7 +21,7 @@
 }
 
 /// The rest of the simulation, as an entry sees it.
-pub struct Around<'a> {
+pub struct EntryContext<'a> {
     pub oracle: &'a mut Oracle,
     pub out: &'a mut Vec<Envelope>,
     /// The daemon that routing chooses.
@@ -45,16 +45,21 @@
         *self = Entry::new(self.number, incarnation);
     }
 
-    pub fn submit(&mut self, key: RecordKey, body: Fingerprint, cx: &mut Around) -> RequestKey {
+    pub fn submit(
+        &mut self,
+        key: RecordKey,
+        body: Fingerprint,
+        cx: &mut EntryContext,
+    ) -> RequestKey {
         self.next += 1;
         let owner = RequestKey { entry: self.incarnation, sequence: self.next };
-        cx.oracle.submitted(key, body);
+        cx.oracle.on_submit(key, body);
         self.runs.insert(owner, KeyedRun::new(owner, key, body));
         self.act(owner, KeyedStep::Choose, 0, cx);
         owner
     }
 
-    pub fn deliver(&mut self, msg: Msg, cx: &mut Around) {
+    pub fn deliver(&mut self, msg: Msg, cx: &mut EntryContext) {
         let (owner, step, run) = match msg {
             Msg::Answer { owner, after, answer } => {
                 (owner, self.with(owner, |run| run.on_claim_answer(after, answer)), 0)
@@ -65,9 +70,9 @@
             Msg::End { owner, stamp, run: number } => {
                 (owner, self.with(owner, |run| run.on_end(&stamp)), number)
             }
-            Msg::Told { owner, stamp, told } => {
-                let number = if let RecordStatus::Ended(number) = told { number } else { 0 };
-                (owner, self.with(owner, |run| run.on_record_status(&stamp, &told)), number)
+            Msg::Status { owner, stamp, status } => {
+                let number = if let RecordStatus::Ended(number) = status { number } else { 0 };
+                (owner, self.with(owner, |run| run.on_record_status(&stamp, &status)), number)
             }
             Msg::Gone { owner, stamp } => (owner, self.with(owner, |run| run.on_gone(&stamp)), 0),
             Msg::Claim { .. } | Msg::Run { .. } | Msg::Ask { .. } => return,
@@ -75,22 +80,22 @@
         self.act(owner, step, run, cx);
     }
 
-    pub fn wait_over(&mut self, owner: RequestKey, cx: &mut Around) {
+    pub fn wait_over(&mut self, owner: RequestKey, cx: &mut EntryContext) {
         let step = self.with(owner, KeyedRun::on_wait_over);
         self.act(owner, step, 0, cx);
     }
 
-    pub fn link_lost(&mut self, owner: RequestKey, cx: &mut Around) {
+    pub fn link_lost(&mut self, owner: RequestKey, cx: &mut EntryContext) {
         let step = self.with(owner, KeyedRun::on_link_lost);
         self.act(owner, step, 0, cx);
     }
 
-    pub fn not_sent(&mut self, owner: RequestKey, cx: &mut Around) {
+    pub fn not_sent(&mut self, owner: RequestKey, cx: &mut EntryContext) {
         let step = self.with(owner, KeyedRun::on_not_sent);
         self.act(owner, step, 0, cx);
     }
 
-    pub fn abandon(&mut self, owner: RequestKey, cx: &mut Around) {
+    pub fn abandon(&mut self, owner: RequestKey, cx: &mut EntryContext) {
         let step = self.with(owner, |run| run.abandon(Refusal::Deadline, "the deadline passed"));
         self.act(owner, step, 0, cx);
     }
@@ -99,7 +104,7 @@
         self.runs.get_mut(&owner).map_or(KeyedStep::Drop, f)
     }
 
-    fn act(&mut self, owner: RequestKey, step: KeyedStep, number: u64, cx: &mut Around) {
+    fn act(&mut self, owner: RequestKey, step: KeyedStep, number: u64, cx: &mut EntryContext) {
         match step {
             KeyedStep::Choose => self.choose(owner, cx),
             KeyedStep::Claim(claim) => self.send_claim(claim, cx),
@@ -108,14 +113,14 @@
                 cx.out.push(Envelope { to: target, msg: Msg::Ask { owner, stamp, fence } });
             }
             KeyedStep::Wait | KeyedStep::Drop => {}
-            KeyedStep::Finish => self.finish(owner, Final::Done, number, cx),
-            KeyedStep::Mismatch => self.finish(owner, Final::Mismatch, 0, cx),
-            KeyedStep::NotRun(_) => self.finish(owner, Final::NotRun, 0, cx),
-            KeyedStep::Unknown(_) => self.finish(owner, Final::Unknown, 0, cx),
+            KeyedStep::Finish => self.finish(owner, Outcome::Done, number, cx),
+            KeyedStep::Mismatch => self.finish(owner, Outcome::Mismatch, 0, cx),
+            KeyedStep::NotRun(_) => self.finish(owner, Outcome::NotRun, 0, cx),
+            KeyedStep::Unknown(_) => self.finish(owner, Outcome::Unknown, 0, cx),
         }
     }
 
-    fn choose(&mut self, owner: RequestKey, cx: &mut Around) {
+    fn choose(&mut self, owner: RequestKey, cx: &mut EntryContext) {
         let Some(run) = self.runs.get_mut(&owner) else { return };
         if run.attempts_refused() >= MAX_ATTEMPTS {
             let step = run.abandon(Refusal::Capacity, "no daemon takes it");
@@ -125,22 +130,22 @@
         self.send_claim(claim, cx);
     }
 
-    fn send_claim(&mut self, claim: Claim, cx: &mut Around) {
+    fn send_claim(&mut self, claim: Claim, cx: &mut EntryContext) {
         let _ = shard_of(&claim.key, cx.shards);
         let to = Peer { addr: addr(HOLDER, cx.holder), incarnation: 0 };
         cx.out.push(Envelope { to, msg: Msg::Claim { from: self.peer(), claim } });
     }
 
-    fn send_run(&mut self, owner: RequestKey, stamp: Stamp, cx: &mut Around) {
+    fn send_run(&mut self, owner: RequestKey, stamp: Stamp, cx: &mut EntryContext) {
         self.next_message += 1;
         let id = self.incarnation << 32 | self.next_message;
         let Some(target) = self.runs[&owner].target() else { return };
-        assert_eq!(crate::net::role(target.addr), BESIDE);
+        assert_eq!(crate::net::role(target.addr), DAEMON);
         cx.out.push(Envelope { to: target, msg: Msg::Run { id, stamp, owner } });
     }
 
-    fn finish(&mut self, owner: RequestKey, end: Final, number: u64, cx: &mut Around) {
+    fn finish(&mut self, owner: RequestKey, end: Outcome, number: u64, cx: &mut EntryContext) {
         let Some(run) = self.runs.remove(&owner) else { return };
-        cx.oracle.finished(owner, *run.key(), end, number);
+        cx.oracle.on_finish(owner, *run.key(), end, number);
     }
 }
--- a/crates/core/tests/ledger/fuzz.rs
+++ b/crates/core/tests/ledger/fuzz.rs
@@ -1,6 +1,6 @@
 //! Stateful fuzzing with seeded schedules of faults, checked by an oracle that counts runs per key.
 
-use crate::oracle::Final;
+use crate::oracle::Outcome;
 use crate::world::World;
 use sorrellock_core::process::ledger::HolderCounts;
 use std::env;
@@ -23,11 +23,11 @@
 impl Totals {
     fn add(&mut self, world: &World) {
         let count = |end| world.oracle.counts.get(&end).copied().unwrap_or_default();
-        self.done += count(Final::Done);
-        self.not_run += count(Final::NotRun);
-        self.unknown += count(Final::Unknown);
-        self.mismatch += count(Final::Mismatch);
-        self.refused_earlier += world.besides.iter().map(|b| b.refused_earlier).sum::<u64>();
+        self.done += count(Outcome::Done);
+        self.not_run += count(Outcome::NotRun);
+        self.unknown += count(Outcome::Unknown);
+        self.mismatch += count(Outcome::Mismatch);
+        self.refused_earlier += world.daemons.iter().map(|b| b.refused_earlier).sum::<u64>();
         for counts in world.holder_counts() {
             self.holders.conflicts += counts.conflicts;
             self.holders.answers_lost += counts.answers_lost;
@@ -44,7 +44,7 @@
 
     /// Checks that the schedules reached every outcome and fault that the test is meant to cover.
     fn check_coverage(&self) {
-        let met = [
+        let covered = [
             ("done", self.done),
             ("not run", self.not_run),
             ("unknown", self.unknown),
@@ -61,7 +61,7 @@
             ("stale reads", self.holders.stale_reads),
             ("downs", self.holders.downs),
         ];
-        for (what, times) in met {
+        for (what, times) in covered {
             assert!(times > 0, "no schedule covered: {what}; {self:?}");
         }
     }
@@ -77,8 +77,8 @@
         println!("seed {seed}");
         let mut world = World::new(seed);
         (0..STEPS).for_each(|_| world.step());
-        let healed = world.heal();
-        assert!(healed, "seed {seed}: no final outcome for {:?}", world.open());
+        let drained = world.drain();
+        assert!(drained, "seed {seed}: no final outcome for {:?}", world.open());
         let missing = world.missing_objects();
         assert!(missing.is_empty(), "seed {seed}: heads refer to {missing:?}, which are gone");
         totals.add(&world);
--- a/crates/core/tests/ledger/holders.rs
+++ b/crates/core/tests/ledger/holders.rs
@@ -1,7 +1,7 @@
 //! The simulated holders, with their pending calls to the store.
 
-use crate::dice::Dice;
 use crate::net::{Envelope, Msg};
+use crate::rng::Rng;
 use crate::store::Store;
 use sorrellock_core::clock::ManualClock;
 use sorrellock_core::id::Incarnation;
@@ -12,7 +12,7 @@
 
 /// A pending call: it takes effect, then its reply arrives, each at some later step.
 #[derive(Clone)]
-struct Under {
+struct PendingCall {
     call: StoreCall,
     reply: Option<StoreReply>,
 }
@@ -21,7 +21,7 @@
     pub number: usize,
     pub incarnation: Incarnation,
     pub holders: Vec<Holder<ManualClock>>,
-    under: Vec<Option<Under>>,
+    pending: Vec<Option<PendingCall>>,
     /// Calls whose reply was lost, and that may still take effect.
     late: Vec<StoreCall>,
     cfg: HolderConfig,
@@ -42,7 +42,7 @@
             number,
             incarnation,
             holders: (0..shards).map(holder).collect(),
-            under: vec![None; usize::from(shards)],
+            pending: vec![None; usize::from(shards)],
             late: Vec::new(),
             cfg,
             clock: clock.clone(),
@@ -53,13 +53,13 @@
     /// Restarts the process. Its pending calls may still take effect.
     pub fn restart(&mut self, incarnation: Incarnation) {
         self.counts.extend(self.holders.iter().map(Holder::counts));
-        let calls = self.under.iter().flatten().filter(|under| under.reply.is_none());
-        self.late.extend(calls.map(|under| under.call.clone()));
+        let calls = self.pending.iter().flatten().filter(|pending| pending.reply.is_none());
+        self.late.extend(calls.map(|pending| pending.call.clone()));
         let shards = self.holders.len() as u16;
         let fresh = HolderProcess::new(self.number, incarnation, shards, self.cfg, &self.clock);
         self.incarnation = incarnation;
         self.holders = fresh.holders;
-        self.under = fresh.under;
+        self.pending = fresh.pending;
     }
 
     pub fn claim(&mut self, from: Peer, claim: Claim) {
@@ -72,36 +72,36 @@
         &mut self,
         shard: usize,
         store: &mut Store,
-        dice: &mut Dice,
+        rng: &mut Rng,
         faults: bool,
         now_ms: u64,
     ) {
-        match self.under[shard].take() {
+        match self.pending[shard].take() {
             None => {
                 if let HolderStep::Call(call) = self.holders[shard].next(now_ms) {
-                    self.under[shard] = Some(Under { call, reply: None });
+                    self.pending[shard] = Some(PendingCall { call, reply: None });
                 }
             }
-            Some(Under { call, reply: None }) if faults && dice.percent(6) => {
+            Some(PendingCall { call, reply: None }) if faults && rng.percent(6) => {
                 self.late.push(call);
                 self.lose_answer(shard);
             }
-            Some(Under { call, reply: None }) => {
-                let reply = Some(store.apply(&call, dice, faults));
-                self.under[shard] = Some(Under { call, reply });
+            Some(PendingCall { call, reply: None }) => {
+                let reply = Some(store.apply(&call, rng, faults));
+                self.pending[shard] = Some(PendingCall { call, reply });
             }
-            Some(Under { reply: Some(_), .. }) if faults && dice.percent(6) => {
+            Some(PendingCall { reply: Some(_), .. }) if faults && rng.percent(6) => {
                 self.lose_answer(shard);
             }
-            Some(Under { reply: Some(reply), .. }) => self.holders[shard].on_reply(reply),
+            Some(PendingCall { reply: Some(reply), .. }) => self.holders[shard].on_reply(reply),
         }
     }
 
     /// Executes a call whose reply was reported lost.
-    pub fn late_effect(&mut self, store: &mut Store, dice: &mut Dice) {
+    pub fn execute_late_call(&mut self, store: &mut Store, rng: &mut Rng) {
         if !self.late.is_empty() {
-            let call = self.late.swap_remove(dice.below(self.late.len()));
-            store.apply(&call, dice, false);
+            let call = self.late.swap_remove(rng.below(self.late.len()));
+            store.apply(&call, rng, false);
         }
     }
 
--- a/crates/core/tests/ledger/main.rs
+++ b/crates/core/tests/ledger/main.rs
@@ -1,8 +1,7 @@
 //! Tests of the run-once ledger: against a naive ledger, and under faults with an oracle that counts runs.
 
-mod besides;
 mod claims;
-mod dice;
+mod daemons;
 mod differential;
 mod entries;
 mod fuzz;
@@ -10,6 +9,7 @@
 mod net;
 mod oracle;
 mod pacing;
+mod rng;
 mod store;
 mod tables;
 mod world;
--- a/crates/core/tests/ledger/net.rs
+++ b/crates/core/tests/ledger/net.rs
@@ -16,7 +16,7 @@
     Refused { owner: RequestKey, stamp: Stamp },
     End { owner: RequestKey, stamp: Stamp, run: RunNumber },
     Ask { owner: RequestKey, stamp: Stamp, fence: bool },
-    Told { owner: RequestKey, stamp: Stamp, told: RecordStatus<RunNumber> },
+    Status { owner: RequestKey, stamp: Stamp, status: RecordStatus<RunNumber> },
     Gone { owner: RequestKey, stamp: Stamp },
 }
 
@@ -38,7 +38,7 @@
 
 pub const HOLDER: u8 = 1;
 pub const ENTRY: u8 = 2;
-pub const BESIDE: u8 = 3;
+pub const DAEMON: u8 = 3;
 
 /// Returns a process of the simulation at one incarnation.
 pub fn peer(role: u8, number: usize, incarnation: Incarnation) -> Peer {
--- a/crates/core/tests/ledger/oracle.rs
+++ b/crates/core/tests/ledger/oracle.rs
@@ -7,7 +7,7 @@
 
 /// The final outcome of a request, as its caller saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Final {
+pub enum Outcome {
     Done,
     NotRun,
     Unknown,
@@ -19,15 +19,15 @@
     runs: HashMap<RecordKey, RunNumber>,
     ran_for: HashSet<RequestKey>,
     not_run: HashSet<RequestKey>,
-    finals: HashMap<RequestKey, Final>,
+    finals: HashMap<RequestKey, Outcome>,
     bodies: HashMap<RecordKey, HashSet<Fingerprint>>,
     next_run: RunNumber,
-    pub counts: HashMap<Final, u64>,
+    pub counts: HashMap<Outcome, u64>,
 }
 
 impl Oracle {
     /// Records a request that a caller sent.
-    pub fn submitted(&mut self, key: RecordKey, body: Fingerprint) {
+    pub fn on_submit(&mut self, key: RecordKey, body: Fingerprint) {
         self.bodies.entry(key).or_default().insert(body);
     }
 
@@ -42,23 +42,23 @@
     }
 
     /// Records the final outcome that a caller got, and checks it.
-    pub fn finished(&mut self, owner: RequestKey, key: RecordKey, end: Final, run: RunNumber) {
+    pub fn on_finish(&mut self, owner: RequestKey, key: RecordKey, end: Outcome, run: RunNumber) {
         let before = self.finals.insert(owner, end);
         assert_eq!(before, None, "{owner} was answered twice, the second time {end:?}");
         *self.counts.entry(end).or_default() += 1;
         match end {
-            Final::Done => {
+            Outcome::Done => {
                 assert_eq!(self.runs.get(&key), Some(&run), "{owner} got another key's answer");
             }
-            Final::NotRun => {
+            Outcome::NotRun => {
                 assert!(!self.ran_for.contains(&owner), "{owner} ran, and was answered as not run");
                 self.not_run.insert(owner);
             }
-            Final::Mismatch => {
+            Outcome::Mismatch => {
                 let bodies = self.bodies.get(&key).map_or(0, HashSet::len);
                 assert!(bodies > 1, "{owner} was refused for another body that nobody sent");
             }
-            Final::Unknown => {}
+            Outcome::Unknown => {}
         }
     }
 }
--- a/crates/core/tests/ledger/pacing.rs
+++ b/crates/core/tests/ledger/pacing.rs
@@ -4,7 +4,7 @@
 use sorrellock_core::process::ledger::Pacer;
 use std::time::Duration;
 
-const MOST: f64 = 12.5;
+const MAX_RATE: f64 = 12.5;
 
 /// Returns the number of writes that start within `seconds`; `outcome` reports the result of each to the pacer.
 fn writes(
@@ -29,7 +29,7 @@
 #[test]
 fn a_holder_stays_within_its_share() {
     let clock = ManualClock::new();
-    let mut pacer = Pacer::new(MOST, clock.clone());
+    let mut pacer = Pacer::new(MAX_RATE, clock.clone());
 
     let count = writes(&mut pacer, &clock, 10, Pacer::on_success);
 
@@ -39,7 +39,7 @@
 #[test]
 fn a_store_that_refuses_is_asked_ever_less() {
     let clock = ManualClock::new();
-    let mut pacer = Pacer::new(MOST, clock.clone());
+    let mut pacer = Pacer::new(MAX_RATE, clock.clone());
 
     writes(&mut pacer, &clock, 10, Pacer::on_overload);
     let count = writes(&mut pacer, &clock, 10, Pacer::on_overload);
@@ -50,7 +50,7 @@
 #[test]
 fn a_slow_store_is_asked_less_and_a_good_one_again_in_full() {
     let clock = ManualClock::new();
-    let mut pacer = Pacer::new(MOST, clock.clone());
+    let mut pacer = Pacer::new(MAX_RATE, clock.clone());
     let slow = |pacer: &mut Pacer<ManualClock>| {
         clock.advance(Duration::from_millis(400));
         pacer.on_success();
@@ -60,14 +60,14 @@
     let slowed = pacer.rate();
     writes(&mut pacer, &clock, 60, Pacer::on_success);
 
-    assert!(slowed < MOST / 4.0, "{slowed}");
-    assert_eq!(pacer.rate(), MOST);
+    assert!(slowed < MAX_RATE / 4.0, "{slowed}");
+    assert_eq!(pacer.rate(), MAX_RATE);
 }
 
 #[test]
 fn the_return_of_a_store_brings_no_burst() {
     let clock = ManualClock::new();
-    let mut pacer = Pacer::new(MOST, clock.clone());
+    let mut pacer = Pacer::new(MAX_RATE, clock.clone());
 
     pacer.on_outage();
     let first_second = writes(&mut pacer, &clock, 1, Pacer::on_success);
--- a/crates/core/tests/ledger/dice.rs
+++ b/crates/core/tests/ledger/rng.rs
@@ -1,11 +1,11 @@
 //! Seeded random numbers.
 
 /// A small generator (splitmix64): the same seed gives the same schedule on any machine.
-pub struct Dice(u64);
+pub struct Rng(u64);
 
-impl Dice {
-    pub fn new(seed: u64) -> Dice {
-        Dice(seed)
+impl Rng {
+    pub fn new(seed: u64) -> Rng {
+        Rng(seed)
     }
 
     pub fn next(&mut self) -> u64 {
--- a/crates/core/tests/ledger/store.rs
+++ b/crates/core/tests/ledger/store.rs
@@ -1,6 +1,6 @@
 //! The simulated store, with versions, conditional writes, and a history for stale reads.
 
-use crate::dice::Dice;
+use crate::rng::Rng;
 use sorrellock_core::id::Revision;
 use sorrellock_core::process::ledger::{PutCondition, ReadObject, StoreCall, StoreReply};
 use std::collections::BTreeMap;
@@ -19,17 +19,17 @@
 
 impl Store {
     /// Executes a call. With `faults` it may be rate limited, and a read may return an older state.
-    pub fn apply(&mut self, call: &StoreCall, dice: &mut Dice, faults: bool) -> StoreReply {
+    pub fn apply(&mut self, call: &StoreCall, rng: &mut Rng, faults: bool) -> StoreReply {
         if self.down {
             return StoreReply::Down { detail: "the model's store is down".into() };
         }
-        if faults && dice.percent(3) {
+        if faults && rng.percent(3) {
             return StoreReply::RateLimited { retry_after: Duration::from_millis(50) };
         }
-        let stale = faults && dice.percent(10);
+        let stale = faults && rng.percent(10);
         match call {
             StoreCall::Read { keys } => {
-                StoreReply::Objects(keys.iter().map(|key| self.read(key, stale, dice)).collect())
+                StoreReply::Objects(keys.iter().map(|key| self.read(key, stale, rng)).collect())
             }
             StoreCall::Put { key, value, when } => self.put(key, value, *when),
             StoreCall::Delete { key, version } => self.delete(key, *version),
@@ -37,9 +37,9 @@
         }
     }
 
-    pub fn read(&self, key: &str, stale: bool, dice: &mut Dice) -> ReadObject {
+    pub fn read(&self, key: &str, stale: bool, rng: &mut Rng) -> ReadObject {
         let history = self.objects.get(key)?;
-        let back = if stale { dice.below(3) } else { 0 };
+        let back = if stale { rng.below(3) } else { 0 };
         let at = history.len().checked_sub(1 + back)?;
         let (version, value) = &history[at];
         value.clone().map(|value| (*version, value))
--- a/crates/core/tests/ledger/tables.rs
+++ b/crates/core/tests/ledger/tables.rs
@@ -40,9 +40,9 @@
     let mut table = table(10, 100);
     table.start(&stamp("running", 1, 3));
 
-    let told = table.ask(&stamp("a", 1, 5), true, 0);
+    let status = table.ask(&stamp("a", 1, 5), true, 0);
 
-    assert_eq!(told, RecordStatus::Tombstoned);
+    assert_eq!(status, RecordStatus::Tombstoned);
     assert_eq!(table.start(&stamp("a", 1, 5)), StartVerdict::Fenced);
     assert_eq!(table.start(&stamp("b", 1, 4)), StartVerdict::Fenced);
     assert_eq!(table.start(&stamp("c", 1, 6)), StartVerdict::Start);
@@ -53,14 +53,14 @@
 fn asking_without_a_fence_changes_nothing() {
     let mut table = table(10, 100);
 
-    let told = table.ask(&stamp("a", 1, 5), false, 0);
+    let status = table.ask(&stamp("a", 1, 5), false, 0);
 
-    assert_eq!(told, RecordStatus::NotSeen);
+    assert_eq!(status, RecordStatus::NotSeen);
     assert_eq!(table.start(&stamp("a", 1, 5)), StartVerdict::Start);
 }
 
 #[test]
-fn followers_hear_of_the_end_and_later_ones_get_the_kept_answer() {
+fn followers_get_the_end_and_later_ones_the_kept_answer() {
     let mut table = table(10, 100);
     table.start(&stamp("a", 1, 5));
     table.ask(&stamp("a", 1, 5), false, 7);
--- a/crates/core/tests/ledger/world.rs
+++ b/crates/core/tests/ledger/world.rs
@@ -1,11 +1,11 @@
 //! The simulation: several holders, entries and daemons with one store, under a seeded schedule.
 
-use crate::besides::Beside;
-use crate::dice::Dice;
-use crate::entries::{Around, Entry};
+use crate::daemons::DaemonProcess;
+use crate::entries::{Entry, EntryContext};
 use crate::holders::HolderProcess;
-use crate::net::{BESIDE, ENTRY, Envelope, HOLDER, Msg, number, role};
+use crate::net::{DAEMON, ENTRY, Envelope, HOLDER, Msg, number, role};
 use crate::oracle::Oracle;
+use crate::rng::Rng;
 use crate::store::Store;
 use sorrellock_core::clock::ManualClock;
 use sorrellock_core::id::Incarnation;
@@ -17,7 +17,7 @@
 
 const HOLDERS: usize = 3;
 const ENTRIES: usize = 3;
-const BESIDES: usize = 3;
+const DAEMONS: usize = 3;
 const SHARDS: u16 = 2;
 /// Number of keys in use at a time; the window moves with the submitted requests.
 const WINDOW: usize = 10;
@@ -25,13 +25,13 @@
 const MAX_MESSAGES: usize = 60;
 
 pub struct World {
-    pub dice: Dice,
+    pub rng: Rng,
     clock: ManualClock,
     now_ms: u64,
     store: Store,
     pub holders: Vec<HolderProcess>,
     entries: Vec<Entry>,
-    pub besides: Vec<Beside>,
+    pub daemons: Vec<DaemonProcess>,
     net: Vec<Envelope>,
     pub oracle: Oracle,
     faults: bool,
@@ -53,53 +53,53 @@
             .map(|n| HolderProcess::new(n, incarnation(), SHARDS, cfg, &clock))
             .collect();
         let entries = (0..ENTRIES).map(|n| Entry::new(n, incarnation())).collect();
-        let besides = (0..BESIDES).map(|n| Beside::new(n, incarnation())).collect();
+        let daemons = (0..DAEMONS).map(|n| DaemonProcess::new(n, incarnation())).collect();
         World {
-            dice: Dice::new(seed),
+            rng: Rng::new(seed),
             clock,
             now_ms: 1_000_000,
             store: Store::default(),
             holders,
             entries,
-            besides,
+            daemons,
             net: Vec::new(),
             oracle: Oracle::default(),
             faults: true,
             next_incarnation: next,
             submitted: 0,
-            paused: [vec![false; HOLDERS], vec![false; ENTRIES], vec![false; BESIDES]],
+            paused: [vec![false; HOLDERS], vec![false; ENTRIES], vec![false; DAEMONS]],
         }
     }
 
     /// Makes one random step.
     pub fn step(&mut self) {
         self.advance(8);
-        match self.dice.below(100) {
+        match self.rng.below(100) {
             0..8 => self.submit(),
             8..40 => self.step_holder(),
             40..72 => self.deliver(),
-            72..82 => self.step_beside(),
+            72..82 => self.step_daemon(),
             82..90 => self.wait_over(),
             90..92 => self.lose_link(),
-            92..94 => self.holder_late(),
+            92..94 => self.execute_late_call(),
             94..95 => self.abandon(),
-            95..98 => self.pause_or_wake(),
+            95..98 => self.pause_or_resume(),
             98 => self.toggle_store(),
             _ => self.restart(),
         }
     }
 
     /// Stops all faults and steps until every request has ended. Returns false if that takes too many steps.
-    pub fn heal(&mut self) -> bool {
+    pub fn drain(&mut self) -> bool {
         self.faults = false;
         self.store.down = false;
         self.paused.iter_mut().flatten().for_each(|paused| *paused = false);
         for _ in 0..60_000 {
             self.advance(8);
-            match self.dice.below(100) {
+            match self.rng.below(100) {
                 0..45 => self.step_holder(),
                 45..80 => self.deliver(),
-                80..92 => self.step_beside(),
+                80..92 => self.step_daemon(),
                 92..97 => self.wait_over(),
                 _ => self.lose_link(),
             }
@@ -120,14 +120,14 @@
     pub fn missing_objects(&mut self) -> Vec<String> {
         let mut missing = Vec::new();
         for shard in 0..SHARDS {
-            let Some((_, value)) = self.store.read(&head_key(shard), false, &mut self.dice) else {
+            let Some((_, value)) = self.store.read(&head_key(shard), false, &mut self.rng) else {
                 continue;
             };
             let head = Head::decode(&value).expect("a head can be read");
             let merged = head.merged.iter().map(|archive| archive.id.index_key(shard));
             let archives = head.merged.iter().chain(&head.recent);
             let keys = merged.chain(archives.map(|archive| archive.id.key(shard)));
-            let gone = keys.filter(|key| self.store.read(key, false, &mut self.dice).is_none());
+            let gone = keys.filter(|key| self.store.read(key, false, &mut self.rng).is_none());
             missing.extend(gone);
         }
         missing
@@ -138,8 +138,8 @@
         self.entries.iter().flat_map(|entry| entry.runs.keys().copied()).collect()
     }
 
-    fn advance(&mut self, most_ms: usize) {
-        let ms = self.dice.below(most_ms) as u64;
+    fn advance(&mut self, max_ms: usize) {
+        let ms = self.rng.below(max_ms) as u64;
         self.clock.advance(Duration::from_millis(ms));
         self.now_ms += ms;
     }
@@ -149,35 +149,35 @@
             return;
         }
         self.submitted += 1;
-        let key = self.submitted / 4 + self.dice.below(WINDOW);
-        let key = if self.dice.percent(5) { self.dice.below(key + 1) } else { key };
-        let body = if self.dice.percent(4) { "other" } else { "usual" };
+        let key = self.submitted / 4 + self.rng.below(WINDOW);
+        let key = if self.rng.percent(5) { self.rng.below(key + 1) } else { key };
+        let body = if self.rng.percent(4) { "other" } else { "usual" };
         let key = record_key("treasury", &key.to_string());
         let body = fingerprint(&[body.as_bytes()]);
-        let at = self.dice.below(ENTRIES);
+        let at = self.rng.below(ENTRIES);
         self.at_entry(at, |entry, cx| {
             entry.submit(key, body, cx);
         });
     }
 
     fn step_holder(&mut self) {
-        let at = self.dice.below(HOLDERS);
+        let at = self.rng.below(HOLDERS);
         if self.paused[0][at] {
             return;
         }
-        let shard = self.dice.below(usize::from(SHARDS));
+        let shard = self.rng.below(usize::from(SHARDS));
         let holder = &mut self.holders[at];
-        holder.step(shard, &mut self.store, &mut self.dice, self.faults, self.now_ms);
+        holder.step(shard, &mut self.store, &mut self.rng, self.faults, self.now_ms);
         // Under faults the holder may be paused between a step and the sending of its answers.
-        if !self.faults || self.dice.percent(80) {
+        if !self.faults || self.rng.percent(80) {
             self.holders[at].take_answers(&mut self.net);
         }
     }
 
-    fn step_beside(&mut self) {
-        let at = self.dice.below(BESIDES);
+    fn step_daemon(&mut self) {
+        let at = self.rng.below(DAEMONS);
         if !self.paused[2][at] {
-            self.besides[at].work(&mut self.dice, &mut self.oracle, &mut self.net);
+            self.daemons[at].work(&mut self.rng, &mut self.oracle, &mut self.net);
         }
     }
 
@@ -186,31 +186,31 @@
         if self.net.is_empty() {
             return;
         }
-        let at = self.dice.below(self.net.len());
+        let at = self.rng.below(self.net.len());
         let to = &self.net[at].to;
         let process = usize::from(role(to.addr) - 1);
         if self.paused[process][number(to.addr)] {
             return;
         }
-        let envelope = if self.faults && self.dice.percent(6) {
+        let envelope = if self.faults && self.rng.percent(6) {
             self.net[at].clone()
         } else {
             self.net.swap_remove(at)
         };
-        if self.faults && self.dice.percent(6) {
-            return self.lost(&envelope);
+        if self.faults && self.rng.percent(6) {
+            return self.lose_message(&envelope);
         }
-        self.hand_over(envelope);
+        self.dispatch(envelope);
     }
 
     /// Loses a message. If it is a run that never arrived and has no copies, its sender may be notified that it was
     /// not sent.
-    fn lost(&mut self, envelope: &Envelope) {
+    fn lose_message(&mut self, envelope: &Envelope) {
         let Msg::Run { owner, id, .. } = envelope.msg else { return };
         let copies =
             self.net.iter().any(|other| matches!(other.msg, Msg::Run { id: o, .. } if o == id));
-        let seen = self.besides.iter().any(|beside| beside.saw(id));
-        if !copies && !seen && self.dice.percent(50) {
+        let seen = self.daemons.iter().any(|daemon| daemon.received(id));
+        if !copies && !seen && self.rng.percent(50) {
             let found = self.entries.iter().position(|e| e.incarnation == owner.entry);
             if let Some(at) = found {
                 self.at_entry(at, |entry, cx| entry.not_sent(owner, cx));
@@ -218,7 +218,7 @@
         }
     }
 
-    fn hand_over(&mut self, envelope: Envelope) {
+    fn dispatch(&mut self, envelope: Envelope) {
         let at = number(envelope.to.addr);
         match role(envelope.to.addr) {
             HOLDER => {
@@ -227,10 +227,10 @@
                 }
             }
             ENTRY => self.at_entry(at, |entry, cx| entry.deliver(envelope.msg, cx)),
-            BESIDE => {
+            DAEMON => {
                 let from = self.sender(&envelope.msg);
                 let to = envelope.to.incarnation;
-                self.besides[at].deliver(to, from, envelope.msg, &mut self.net);
+                self.daemons[at].deliver(to, from, envelope.msg, &mut self.net);
             }
             _ => {}
         }
@@ -264,58 +264,58 @@
         }
     }
 
-    fn holder_late(&mut self) {
-        let at = self.dice.below(HOLDERS);
-        self.holders[at].late_effect(&mut self.store, &mut self.dice);
+    fn execute_late_call(&mut self) {
+        let at = self.rng.below(HOLDERS);
+        self.holders[at].execute_late_call(&mut self.store, &mut self.rng);
     }
 
-    fn pause_or_wake(&mut self) {
-        let role = self.dice.below(3);
-        let at = self.dice.below(self.paused[role].len());
-        self.paused[role][at] = !self.paused[role][at] && self.dice.percent(60);
+    fn pause_or_resume(&mut self) {
+        let role = self.rng.below(3);
+        let at = self.rng.below(self.paused[role].len());
+        self.paused[role][at] = !self.paused[role][at] && self.rng.percent(60);
     }
 
     fn toggle_store(&mut self) {
-        self.store.down = !self.store.down && self.dice.percent(12);
+        self.store.down = !self.store.down && self.rng.percent(12);
     }
 
     fn restart(&mut self) {
         self.next_incarnation += 1;
         let incarnation = self.next_incarnation;
-        match self.dice.below(5) {
+        match self.rng.below(5) {
             0 | 1 => {
-                let at = self.dice.below(HOLDERS);
+                let at = self.rng.below(HOLDERS);
                 self.holders[at].restart(incarnation);
             }
             2 | 3 => {
-                let at = self.dice.below(BESIDES);
-                self.besides[at].restart(incarnation);
+                let at = self.rng.below(DAEMONS);
+                self.daemons[at].restart(incarnation);
             }
             _ => {
-                let at = self.dice.below(ENTRIES);
+                let at = self.rng.below(ENTRIES);
                 self.entries[at].restart(incarnation);
             }
         }
     }
 
     fn any_request(&mut self) -> Option<(usize, RequestKey)> {
-        let at = self.dice.below(ENTRIES);
+        let at = self.rng.below(ENTRIES);
         if self.paused[1][at] {
             return None;
         }
         let count = self.entries[at].runs.len();
-        let skip = self.dice.below(count);
+        let skip = self.rng.below(count);
         self.entries[at].runs.keys().nth(skip).map(|owner| (at, *owner))
     }
 
-    fn at_entry(&mut self, at: usize, act: impl FnOnce(&mut Entry, &mut Around)) {
-        let chosen = self.dice.below(BESIDES);
+    fn at_entry(&mut self, at: usize, act: impl FnOnce(&mut Entry, &mut EntryContext)) {
+        let chosen = self.rng.below(DAEMONS);
         // Views of the fleet differ and lag, so entries may use different holders for the same shard.
-        let holder = if self.dice.percent(30) { self.dice.below(HOLDERS) } else { 0 };
-        let mut cx = Around {
+        let holder = if self.rng.percent(30) { self.rng.below(HOLDERS) } else { 0 };
+        let mut cx = EntryContext {
             oracle: &mut self.oracle,
             out: &mut self.net,
-            chosen: self.besides[chosen].peer(),
+            chosen: self.daemons[chosen].peer(),
             holder,
             shards: SHARDS,
         };
