--- a/crates/core/src/process/ledger/holder/claims.rs
+++ b/crates/core/src/process/ledger/holder/claims.rs
@@ -35,7 +35,7 @@
     }
 
     /// Whether `claim` repeats this one.
-    pub(super) fn is_for(&self, claim: &Claim) -> bool {
+    pub(super) fn is_repeated_by(&self, claim: &Claim) -> bool {
         self.claim.owner == claim.owner && self.claim.after == claim.after
     }
 
@@ -132,7 +132,7 @@
         }
     }
 
-    pub(super) fn on_old(&mut self, at: usize, objects: Vec<ReadObject>) {
+    pub(super) fn on_old_archives(&mut self, at: usize, objects: Vec<ReadObject>) {
         let Some(waiting) = self.waiting.get_mut(at) else { return };
         let mut latest: Option<CommittedRecord> = None;
         for object in objects {
--- a/crates/core/src/process/ledger/holder/commit.rs
+++ b/crates/core/src/process/ledger/holder/commit.rs
@@ -130,7 +130,7 @@
         (head, prepared): (Head, Option<Prepared>),
     ) {
         let Some(loaded) = &mut self.loaded else { return };
-        self.floor = self.floor.max(version);
+        self.highest_version = self.highest_version.max(version);
         let batch = head.batches.last().cloned();
         loaded.drop_expired(&head);
         loaded.version = version;
--- a/crates/core/src/process/ledger/holder/holder.rs
+++ b/crates/core/src/process/ledger/holder/holder.rs
@@ -17,7 +17,7 @@
 const MIN_PAUSE: Duration = Duration::from_millis(100);
 /// Longest pause before the store is called again.
 const MAX_PAUSE: Duration = Duration::from_secs(1);
-/// Minimum retry delay that a refused claim is given.
+/// Minimum retry delay in a refusal of a claim.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Wait before a read that returned stale data is repeated.
 const STALE_READ_PAUSE: Duration = Duration::from_millis(20);
@@ -80,7 +80,7 @@
     pub(super) upkeep: Upkeep,
     pub(super) last_archive_number: u32,
     /// The highest version of the head seen so far; a read below it is stale.
-    pub(super) floor: Revision,
+    pub(super) highest_version: Revision,
     pub(super) counts: HolderCounts,
     not_before: Option<Instant>,
     down_until: Option<Instant>,
@@ -88,7 +88,7 @@
 }
 
 impl<C: Clock> Holder<C> {
-    /// Creates a holder that has read nothing yet, run by the daemon of incarnation `incarnation`.
+    /// Creates a holder that has read nothing yet, run by the daemon with this incarnation.
     pub fn new(shard: Shard, incarnation: Incarnation, cfg: HolderConfig, clock: C) -> Holder<C> {
         Holder {
             shard,
@@ -104,7 +104,7 @@
             answers: Vec::new(),
             upkeep: Upkeep::new(),
             last_archive_number: 0,
-            floor: 0,
+            highest_version: 0,
             counts: HolderCounts::default(),
             not_before: None,
             down_until: None,
@@ -118,7 +118,7 @@
         if let Some(until) = self.down_until.filter(|until| now < *until) {
             return self.refuse_store_down(from, &claim, until - now, "the store is down");
         }
-        let same = |waiting: &&mut WaitingClaim| waiting.is_for(&claim);
+        let same = |waiting: &&mut WaitingClaim| waiting.is_repeated_by(&claim);
         if let Some(waiting) = self.waiting.iter_mut().find(same) {
             waiting.from = from;
             return;
@@ -176,7 +176,9 @@
         match (pending, reply) {
             (PendingCall::ReadHead, StoreReply::Objects(objects)) => self.on_head(objects),
             (PendingCall::ReadArchives, StoreReply::Objects(objects)) => self.on_archives(objects),
-            (PendingCall::ReadOld(at), StoreReply::Objects(objects)) => self.on_old(at, objects),
+            (PendingCall::ReadOld(at), StoreReply::Objects(objects)) => {
+                self.on_old_archives(at, objects)
+            }
             (PendingCall::PutArchive(prepared), StoreReply::Written(_)) => {
                 self.on_archive_put(prepared)
             }
@@ -345,7 +347,7 @@
 
     fn on_head_conflict(&mut self, found: Revision) {
         self.counts.conflicts += 1;
-        self.floor = self.floor.max(found);
+        self.highest_version = self.highest_version.max(found);
         self.unload();
     }
 
--- a/crates/core/src/process/ledger/holder/load.rs
+++ b/crates/core/src/process/ledger/holder/load.rs
@@ -46,13 +46,13 @@
             None => (0, Some(Head::default())),
             Some((version, value)) => (version, Head::decode(&value)),
         };
-        if version < self.floor {
+        if version < self.highest_version {
             return self.on_stale_read();
         }
         let Some(head) = head else {
             return self.mark_store_down("the head of the shard can't be read");
         };
-        self.floor = version;
+        self.highest_version = version;
         self.begin_loading(version, head);
     }
 
--- a/crates/core/src/process/ledger/keyed_run.rs
+++ b/crates/core/src/process/ledger/keyed_run.rs
@@ -222,8 +222,8 @@
         self.unknown(format!("it was given to {target}, which is gone: it may have run"))
     }
 
-    /// Handles a closed link to the daemon: asks for the status of a run that was sent. If a status
-    /// request was pending, it may be lost, and this counts as a failure to reach the daemon.
+    /// Handles a closed link to the daemon: asks for the status of a run that was sent. If the status
+    /// was asked for already, this counts as a failure to reach the daemon, as the question may be lost.
     pub fn on_link_lost(&mut self) -> KeyedStep {
         match self.state {
             State::Sent { stamp, target } => self.ask(stamp, target, true),
--- a/crates/core/src/process/ledger/start_table.rs
+++ b/crates/core/src/process/ledger/start_table.rs
@@ -64,7 +64,7 @@
     started: HashMap<RecordKey, Started<A, F>>,
     /// Records that ended or were refused, oldest first.
     ended: VecDeque<(RecordKey, Revision)>,
-    /// Records whose answer is kept, oldest first.
+    /// Records that ended with an answer, oldest first.
     with_answer: VecDeque<(RecordKey, Revision)>,
     answer_bytes: usize,
     /// For each shard: a record with a lower base that has not started never will.
