--- a/crates/bench/benches/run_once/load.rs
+++ b/crates/bench/benches/run_once/load.rs
@@ -5,8 +5,8 @@
 use hdrhistogram::Histogram;
 use rand::RngExt;
 use sorrellock_core::process::ledger::{
-    Answered, Claim, ClaimAnswer, HolderConfig, HolderCounts, SHARDS, Stamp, StartTable,
-    StartVerdict, Told, shard_of,
+    Claim, ClaimAnswer, ClaimReply, HolderConfig, HolderCounts, RecordStatus, SHARDS, Stamp,
+    StartTable, StartVerdict, shard_of,
 };
 use sorrellock_core::request::Peer;
 use sorrellock_fakes::FakePlatform;
@@ -52,8 +52,8 @@
 pub struct Load {
     holders: Vec<Holders>,
     retired: Vec<HolderCounts>,
-    tx: Sender<(Instant, Answered)>,
-    rx: Receiver<(Instant, Answered)>,
+    tx: Sender<(Instant, ClaimReply)>,
+    rx: Receiver<(Instant, ClaimReply)>,
     open: BTreeMap<u64, Open>,
     besides: HashMap<Peer, StartTable<u64, u64>>,
     runs: HashMap<Stamp, u64>,
@@ -169,7 +169,7 @@
         }
     }
 
-    fn on_answer(&mut self, at: Instant, answered: Answered) {
+    fn on_answer(&mut self, at: Instant, answered: ClaimReply) {
         let sequence = answered.owner.sequence;
         let Some(open) = self.open.get(&sequence) else { return };
         if open.claim.after != answered.after {
@@ -204,8 +204,8 @@
     fn ask(&mut self, open: Open, sequence: u64, stamp: &Stamp, target: Peer) {
         let table = self.besides.entry(target).or_insert_with(|| StartTable::new(65_536, 1 << 24));
         match table.ask(stamp, true, sequence) {
-            Told::Ended(run) if self.runs.get(stamp) == Some(&run) => self.replayed += 1,
-            Told::Tombstoned => {
+            RecordStatus::Ended(run) if self.runs.get(stamp) == Some(&run) => self.replayed += 1,
+            RecordStatus::Tombstoned => {
                 self.send(sequence, Claim { after: stamp.attempt, ..open.claim });
             }
             _ => self.unexplained += 1,
--- a/crates/core/tests/ledger/oracle.rs
+++ b/crates/core/tests/ledger/oracle.rs
@@ -1,13 +1,13 @@
-//! What must hold, counted from outside.
+//! Checks of the ledger's guarantees, from the runs and the outcomes alone.
 
 use crate::net::RunNumber;
 use sorrellock_core::process::ledger::{Fingerprint, RecordKey};
 use sorrellock_core::request::RequestKey;
 use std::collections::{HashMap, HashSet};
 
-/// A final outcome, as its caller saw it.
+/// The final outcome of a request, as its caller saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Final {
+pub enum Outcome {
     Done,
     NotRun,
     Unknown,
@@ -19,19 +19,19 @@
     runs: HashMap<RecordKey, RunNumber>,
     ran_for: HashSet<RequestKey>,
     not_run: HashSet<RequestKey>,
-    finals: HashMap<RequestKey, Final>,
+    finals: HashMap<RequestKey, Outcome>,
     bodies: HashMap<RecordKey, HashSet<Fingerprint>>,
     next_run: RunNumber,
-    pub counts: HashMap<Final, u64>,
+    pub counts: HashMap<Outcome, u64>,
 }
 
 impl Oracle {
-    /// A caller sent a request.
-    pub fn submitted(&mut self, key: RecordKey, body: Fingerprint) {
+    /// Records a request that a caller sent.
+    pub fn on_submit(&mut self, key: RecordKey, body: Fingerprint) {
         self.bodies.entry(key).or_default().insert(body);
     }
 
-    /// A service runs a key for a request.
+    /// Records that a service runs a key for a request, and checks that it may.
     pub fn run(&mut self, key: RecordKey, owner: RequestKey) -> RunNumber {
         self.next_run += 1;
         let before = self.runs.insert(key, self.next_run);
@@ -41,24 +41,24 @@
         self.next_run
     }
 
-    /// A caller got its final outcome.
-    pub fn finished(&mut self, owner: RequestKey, key: RecordKey, end: Final, run: RunNumber) {
+    /// Records the final outcome that a caller got, and checks it.
+    pub fn on_finish(&mut self, owner: RequestKey, key: RecordKey, end: Outcome, run: RunNumber) {
         let before = self.finals.insert(owner, end);
         assert_eq!(before, None, "{owner} was answered twice, the second time {end:?}");
         *self.counts.entry(end).or_default() += 1;
         match end {
-            Final::Done => {
+            Outcome::Done => {
                 assert_eq!(self.runs.get(&key), Some(&run), "{owner} got another key's answer");
             }
-            Final::NotRun => {
+            Outcome::NotRun => {
                 assert!(!self.ran_for.contains(&owner), "{owner} ran, and was answered as not run");
                 self.not_run.insert(owner);
             }
-            Final::Mismatch => {
+            Outcome::Mismatch => {
                 let bodies = self.bodies.get(&key).map_or(0, HashSet::len);
                 assert!(bodies > 1, "{owner} was refused for another body that nobody sent");
             }
-            Final::Unknown => {}
+            Outcome::Unknown => {}
         }
     }
 }
--- a/crates/daemon/src/entry/process/keyed_calls.rs
+++ b/crates/daemon/src/entry/process/keyed_calls.rs
@@ -5,7 +5,7 @@
 use crate::entry::request::{Keyed, Problem};
 use crate::process::Count;
 use sorrellock_core::id::Sequence;
-use sorrellock_core::process::ledger::{Claim, KeyedRun, KeyedStep, Stamp, Told};
+use sorrellock_core::process::ledger::{Claim, KeyedRun, KeyedStep, RecordStatus, Stamp};
 use sorrellock_core::request::{Peer, Refusal, RequestKey, Unknown};
 use sorrellock_wire::connection::Link;
 use sorrellock_wire::message::{CallEnd, LedgerMessage};
@@ -37,7 +37,7 @@
                 self.with_keyed(&run, None, |run| run.on_claim_answer(after, answer));
             }
             LedgerMessage::End { stamp, end, .. } => self.on_run_end(&run, stamp, end),
-            LedgerMessage::Told { stamp, told, .. } => self.on_told(&run, stamp, told),
+            LedgerMessage::Told { stamp, told, .. } => self.on_record_status(&run, stamp, told),
             LedgerMessage::Gone { stamp, .. } => {
                 self.with_keyed(&run, None, |run| run.on_gone(&stamp));
             }
@@ -75,7 +75,7 @@
                 run.daemon = daemon;
                 KeyedStep::Claim(claim)
             }
-            _ => keyed.run.give_up(Refusal::Capacity, "no endpoint takes it"),
+            _ => keyed.run.abandon(Refusal::Capacity, "no endpoint takes it"),
         };
         self.act(run, step, None);
     }
@@ -84,7 +84,7 @@
     pub(super) fn give_up_keyed(&self, mut run: Run<'_>, refusal: Refusal, detail: &str) {
         self.end_begun(&run, detail);
         let Some(keyed) = &mut run.keyed else { return };
-        match keyed.run.give_up(refusal, detail) {
+        match keyed.run.abandon(refusal, detail) {
             KeyedStep::Unknown(unknown) if refusal == Refusal::Deadline => {
                 self.fail(run, Problem { status: 504, ..unknown.into() });
             }
@@ -102,7 +102,7 @@
             }
             keyed.run.on_holder_lost()
         } else if keyed.run.target().is_some_and(|target| target.addr == peer) {
-            keyed.run.on_lost()
+            keyed.run.on_link_lost()
         } else {
             return;
         };
@@ -123,15 +123,15 @@
         self.with_keyed(run, Some(Came { stamp, end }), |run| run.on_end(&stamp));
     }
 
-    fn on_told(&self, run: &Mutex<CallRun>, stamp: Stamp, told: Told<CallEnd>) {
+    fn on_record_status(&self, run: &Mutex<CallRun>, stamp: Stamp, told: RecordStatus<CallEnd>) {
         let came = match &told {
-            Told::Ended(end) => Some(Came { stamp, end: end.clone() }),
+            RecordStatus::Ended(end) => Some(Came { stamp, end: end.clone() }),
             _ => None,
         };
-        if told == Told::Running && self.begin_pipeline(run, &stamp) {
+        if told == RecordStatus::Running && self.begin_pipeline(run, &stamp) {
             return;
         }
-        self.with_keyed(run, came, |run| run.on_told(&stamp, &told));
+        self.with_keyed(run, came, |run| run.on_record_status(&stamp, &told));
     }
 
     fn with_keyed(
--- a/crates/daemon/src/process/ledger/shard_driver.rs
+++ b/crates/daemon/src/process/ledger/shard_driver.rs
@@ -2,7 +2,7 @@
 
 use super::StoreCaller;
 use sorrellock_core::clock::{Clock, SystemClock};
-use sorrellock_core::process::ledger::{Answered, Claim, Holder, Next, UnixMs};
+use sorrellock_core::process::ledger::{Claim, ClaimReply, Holder, HolderStep, UnixMs};
 use sorrellock_core::request::Peer;
 use sorrellock_ports::api::ObjectStore;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, Weak};
@@ -15,7 +15,7 @@
 /// Takes the answers of a holder to who claimed.
 pub trait AnswerSink: Send + Sync + 'static {
     /// Sends an answer.
-    fn answer(&self, answered: Answered);
+    fn answer(&self, answered: ClaimReply);
 }
 
 /// Drives the holder of one shard.
@@ -64,28 +64,28 @@
         let next = holder.next(now_ms());
         let answers = holder.take_answers();
         match next {
-            Next::Call(call) => {
+            HolderStep::Call(call) => {
                 drop(holder);
                 self.send(answers);
                 let reply = self.store.call(&call);
                 let mut holder = self.holder();
-                holder.replied(reply);
+                holder.on_reply(reply);
                 let answers = holder.take_answers();
                 drop(holder);
                 self.send(answers);
             }
-            Next::WaitUntil(at) => {
+            HolderStep::WaitUntil(at) => {
                 let wait = at.saturating_duration_since(SystemClock.now()).min(IDLE);
                 self.wait(holder, answers, wait);
             }
-            Next::Idle => self.wait(holder, answers, IDLE),
+            HolderStep::Idle => self.wait(holder, answers, IDLE),
         }
     }
 
     fn wait(
         &self,
         holder: MutexGuard<'_, Holder<SystemClock>>,
-        answers: Vec<Answered>,
+        answers: Vec<ClaimReply>,
         wait: Duration,
     ) {
         if answers.is_empty() {
@@ -96,7 +96,7 @@
         self.send(answers);
     }
 
-    fn send(&self, answers: Vec<Answered>) {
+    fn send(&self, answers: Vec<ClaimReply>) {
         answers.into_iter().for_each(|answered| self.sink.answer(answered));
     }
 
