--- a/crates/core/tests/batch_watch.rs
+++ b/crates/core/tests/batch_watch.rs
@@ -1,13 +1,13 @@
-//! The watch over a batch: an engine that hangs is found, a pause of the watching process is not
-//! put down to its engine.
+//! The batch watch detects an engine that hangs, and does not attribute a pause of its own process to
+//! the engine.
 
 use sorrellock_core::clock::{Clock, ManualClock};
 use sorrellock_core::request::{BatchWatch, LOOK_INTERVAL, StepTimes};
 use std::time::Duration;
 
-/// A usual batch of one token.
+/// Typical time of a batch of one token.
 const USUAL: Duration = Duration::from_millis(1);
-/// Longer than any batch of an engine with such times may take.
+/// Longer than the time after which a batch of such an engine counts as stuck.
 const PAUSE: Duration = Duration::from_millis(200);
 
 fn stuck_after() -> Duration {
@@ -16,7 +16,7 @@
     times.stuck_after(1)
 }
 
-/// Looks every `interval` for as long as `time`, and tells how long the batch was watched.
+/// Checks every `interval` for the duration `time`, and returns how long the batch was watched.
 fn look_for(
     watch: &mut BatchWatch,
     clock: &ManualClock,
--- a/crates/core/tests/driver_close.rs
+++ b/crates/core/tests/driver_close.rs
@@ -1,4 +1,4 @@
-//! A request that was closed begins no attempt any more, whatever comes late.
+//! A closed request starts no further attempt, whichever messages arrive late.
 
 use sorrellock_core::request::{
     Driver, DriverConfig, DriverVerdict, Hop, LayerRange, Peer, Repair, RequestKey, Route,
@@ -6,10 +6,10 @@
 };
 use std::net::SocketAddr;
 
-/// Engines without end.
-struct Plenty;
+/// A route source that always has a replacement.
+struct UnlimitedRoutes;
 
-impl RouteSource for Plenty {
+impl RouteSource for UnlimitedRoutes {
     fn replacement(&self, hop: &Hop, _without: &[Hop]) -> Option<Hop> {
         Some(Hop { endpoint: "spare".into(), ..hop.clone() })
     }
@@ -59,11 +59,11 @@
 
     let closed = driver.close();
     let repairs = [
-        driver.on_trouble(1, 0, StageTrouble::EngineFailed, &Plenty),
-        driver.on_trouble(1, 1, StageTrouble::Leaving, &Plenty),
-        driver.on_closed(peer(2).addr, &Plenty),
-        driver.on_stalled(&[1], &Plenty),
-        driver.retry(&Plenty),
+        driver.on_trouble(1, 0, StageTrouble::EngineFailed, &UnlimitedRoutes),
+        driver.on_trouble(1, 1, StageTrouble::Leaving, &UnlimitedRoutes),
+        driver.on_closed(peer(2).addr, &UnlimitedRoutes),
+        driver.on_stalled(&[1], &UnlimitedRoutes),
+        driver.retry(&UnlimitedRoutes),
     ];
 
     assert_eq!(closed.len(), 2);
@@ -87,7 +87,7 @@
 
     let verdict = driver.on_token(&token());
     let resent = driver.on_resend(1, 0);
-    let repair = driver.on_closed(peer(2).addr, &Plenty);
+    let repair = driver.on_closed(peer(2).addr, &UnlimitedRoutes);
 
     assert_eq!(verdict, DriverVerdict::Emit);
     assert!(resent.is_some());
--- a/crates/core/tests/pipeline/choices.rs
+++ b/crates/core/tests/pipeline/choices.rs
@@ -1,8 +1,8 @@
-//! The random choices of one schedule, drawn from a seed that a failure prints.
+//! Random choices of one schedule, drawn from a seed that a failing test prints.
 
 use quickcheck::{Arbitrary, Gen};
 
-/// The choices of one schedule.
+/// Random choices of one schedule.
 pub struct Choices {
     source: Gen,
 }
@@ -12,12 +12,12 @@
         Choices { source: Gen::from_size_and_seed(64, seed) }
     }
 
-    /// A number below `end`.
+    /// Returns a random number below `end`.
     pub fn below(&mut self, end: usize) -> usize {
         (u64::arbitrary(&mut self.source) % end.max(1) as u64) as usize
     }
 
-    /// True once in `odds` times.
+    /// Returns true with probability `1 / odds`.
     pub fn one_in(&mut self, odds: usize) -> bool {
         self.below(odds) == 0
     }
--- a/crates/core/tests/pipeline/daemon.rs
+++ b/crates/core/tests/pipeline/daemon.rs
@@ -1,4 +1,4 @@
-//! One daemon with its engine: the shell around a stage table, as thin as the real one.
+//! A simulated daemon with its engine: a thin shell around a stage table, like the real one.
 
 use super::choices::Choices;
 use super::engine::{SimEngine, salt};
@@ -12,19 +12,19 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Bytes that a daemon keeps for replay, and each request there: passed now and then.
-const KEPT: (usize, usize) = (6_000, 3_000);
-/// Requests that run together.
+/// Bytes kept for replay per daemon and per request; small enough to be exceeded now and then.
+const KEPT_BYTES: (usize, usize) = (6_000, 3_000);
+/// Maximum number of requests in one batch.
 const MAX_BATCH: usize = 3;
 
-/// A call to the engine besides batches.
+/// An engine call other than a batch.
 enum Call {
     Release(String),
     Export(KvExport),
     Import(RequestKey, String, Handover),
 }
 
-/// One daemon with its engine.
+/// A simulated daemon with its engine.
 pub struct SimDaemon {
     pub peer: Peer,
     pub layers: LayerRange,
@@ -36,13 +36,13 @@
     pub engine: SimEngine,
     pub diverged: usize,
     waiting: VecDeque<RequestKey>,
-    in_hand: Vec<(RequestKey, EngineWork, EngineResult)>,
+    in_progress: Vec<(RequestKey, EngineWork, EngineResult)>,
     calls: VecDeque<Call>,
 }
 
 impl SimDaemon {
     pub fn new(addr: SocketAddr, layers: LayerRange) -> SimDaemon {
-        let budget = KeptBudget::new(KEPT.0, KEPT.1);
+        let budget = KeptBudget::new(KEPT_BYTES.0, KEPT_BYTES.1);
         SimDaemon {
             peer: Peer { addr, incarnation: 1 },
             layers,
@@ -54,7 +54,7 @@
             engine: SimEngine::default(),
             diverged: 0,
             waiting: VecDeque::new(),
-            in_hand: Vec::new(),
+            in_progress: Vec::new(),
             calls: VecDeque::new(),
         }
     }
@@ -67,7 +67,7 @@
         self.alive && !self.frozen
     }
 
-    /// Starts again with nothing, as another incarnation.
+    /// Restarts without state, as a new incarnation.
     pub fn restart(&mut self) {
         let incarnation = self.peer.incarnation + 1;
         let diverged = self.diverged;
@@ -110,7 +110,7 @@
         self.absorb(out)
     }
 
-    pub fn offer(&mut self) -> Vec<Outgoing> {
+    pub fn offer_handover(&mut self) -> Vec<Outgoing> {
         let mut out = StageOutput::default();
         self.table.on_leaving(&mut out);
         self.absorb(out)
@@ -122,7 +122,7 @@
         self.absorb(out);
     }
 
-    /// Lets the engine do something: begin or end a batch, or make a call.
+    /// Makes one engine transition: starts or ends a batch, or makes a call.
     pub fn turn(
         &mut self,
         choices: &mut Choices,
@@ -133,21 +133,21 @@
         let mut out = StageOutput::default();
         if !self.calls.is_empty() && choices.one_in(2) {
             let call = self.calls.pop_front().expect("there is one");
-            self.call(call, choices, faults, &mut out);
-        } else if self.in_hand.is_empty() {
-            self.begin(choices, faults, fixed);
+            self.make_call(call, choices, faults, &mut out);
+        } else if self.in_progress.is_empty() {
+            self.start_batch(choices, faults, fixed);
         } else if faults && choices.one_in(200) {
             self.table.on_stuck("the engine hangs", &mut out);
         } else {
-            for (request, work, result) in std::mem::take(&mut self.in_hand) {
+            for (request, work, result) in std::mem::take(&mut self.in_progress) {
                 self.table.finish(request, &work.session, result, now, &mut out);
             }
         }
         self.absorb(out)
     }
 
-    fn begin(&mut self, choices: &mut Choices, faults: bool, fixed: bool) {
-        while self.in_hand.len() < MAX_BATCH {
+    fn start_batch(&mut self, choices: &mut Choices, faults: bool, fixed: bool) {
+        while self.in_progress.len() < MAX_BATCH {
             let Some(request) = self.waiting.pop_front() else { return };
             let Some(work) = self.table.start(request) else { continue };
             let fails = faults && choices.one_in(80);
@@ -158,11 +158,17 @@
                 let given = self.engine.run(&work, salt);
                 result = if fails { result } else { given };
             }
-            self.in_hand.push((request, work, result));
+            self.in_progress.push((request, work, result));
         }
     }
 
-    fn call(&mut self, call: Call, choices: &mut Choices, faults: bool, out: &mut StageOutput) {
+    fn make_call(
+        &mut self,
+        call: Call,
+        choices: &mut Choices,
+        faults: bool,
+        out: &mut StageOutput,
+    ) {
         let fails = faults && choices.one_in(10);
         match call {
             Call::Release(session) => drop(self.engine.sessions.remove(&session)),
--- a/crates/core/tests/pipeline/engine.rs
+++ b/crates/core/tests/pipeline/engine.rs
@@ -1,37 +1,37 @@
-//! A model engine for the fuzz: it applies whatever it is given, so that nothing but the protocol
-//! keeps a layer from being applied twice. The lineage of each result can be read from it.
+//! A simulated model engine for the fuzz test. It applies every input, so that only the protocol
+//! prevents a layer from being applied twice. Each result contains its own lineage.
 
 use super::choices::Choices;
 use sorrellock_core::id::{Layer, Position, TokenId};
 use sorrellock_core::request::{Activations, Chosen, EngineResult, EngineWork};
 use std::collections::HashMap;
 
-/// Layers of the model.
+/// Number of layers of the model.
 pub const LAYERS: Layer = 6;
-/// Small, so that two choices at one position are often the same.
+/// Small, so that two choices at the same position are often equal.
 const VOCABULARY: u64 = 5;
-/// An activation: a hash of all that it depends on, and the list of layers applied.
+/// Bytes of an activation: a hash of everything that it depends on, and the list of layers applied.
 const WIDTH: usize = 8 + LAYERS as usize + 4;
 const NO_LAYER: u8 = u8::MAX;
 
-/// What is known of one activation.
+/// Lineage of one activation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lineage {
     pub hash: u64,
     pub layers: Vec<u8>,
 }
 
-/// One KV cache: for each layer an entry a position.
+/// A KV cache: one entry per layer and position.
 type Session = HashMap<Layer, Vec<u64>>;
 
-/// A model engine.
+/// A simulated model engine.
 #[derive(Default)]
 pub struct SimEngine {
     pub sessions: HashMap<String, Session>,
-    /// Positions that ran in each session, those that were cut back since included.
+    /// Number of positions that ran in each session, including those truncated since.
     ran: HashMap<String, usize>,
-    /// Positions that ran again after they were cut back.
-    pub again: usize,
+    /// Number of positions that ran again after a truncation.
+    pub reruns: usize,
 }
 
 impl SimEngine {
@@ -43,7 +43,7 @@
         let first = session.values().next().map_or(0, Vec::len);
         let ran = self.ran.entry(work.session.clone()).or_default();
         let end = first + work.step.tokens.len();
-        self.again += end.min(*ran).saturating_sub(first);
+        self.reruns += end.min(*ran).saturating_sub(first);
         *ran = end.max(*ran);
         let mut out = Vec::new();
         let mut last = Lineage { hash: 0, layers: Vec::new() };
@@ -96,14 +96,14 @@
     }
 }
 
-/// The whole model in one place, fed one token after the other.
+/// Reference model that runs all layers in one place, one token at a time.
 #[derive(Debug, Default)]
 pub struct NaiveModel {
     session: Session,
 }
 
 impl NaiveModel {
-    /// What the last layer gives after `token`, as text.
+    /// Runs `token`, and returns the output of the last layer as a hash and as text.
     pub fn feed(&mut self, token: TokenId) -> (u64, String) {
         let mut lineage = embed(token);
         for layer in 0..LAYERS {
@@ -113,12 +113,12 @@
     }
 }
 
-/// The token chosen for a result. Another salt is another draw, as models that sample make.
+/// Returns the token chosen for a result. Different salts stand for different samples.
 pub fn token(hash: u64, salt: u64) -> TokenId {
     (mix(hash, salt) % VOCABULARY) as TokenId
 }
 
-/// A salt: always the same, or one a draw.
+/// Returns a salt: a constant if `fixed`, otherwise a random one for each call.
 pub fn salt(choices: &mut Choices, fixed: bool) -> u64 {
     if fixed { 0 } else { choices.below(4) as u64 }
 }
--- a/crates/core/tests/pipeline/entry.rs
+++ b/crates/core/tests/pipeline/entry.rs
@@ -1,4 +1,5 @@
-//! The entry: the shell around drivers and stall detectors, with the oracle at its mouth.
+//! A simulated entry: a shell around drivers and stall detectors that checks every emitted token
+//! against an oracle.
 
 use super::choices::Choices;
 use super::engine::{LAYERS, NaiveModel, token};
@@ -11,7 +12,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// The engines that the entry knows, chosen from at random.
+/// Routes chosen at random from the engines that the entry knows.
 pub struct SimRoutes<'a> {
     pub known: &'a [Hop],
     pub choices: RefCell<&'a mut Choices>,
@@ -136,7 +137,7 @@
         }
     }
 
-    /// The oracle: what comes next was made by each layer once, in order, from the tokens so far.
+    /// Oracle: checks that each layer ran the next token once, in order, from the tokens so far.
     fn on_token(&mut self, out: &TokenOut, now: Instant) -> Vec<Outgoing> {
         let verdict = self.driver.on_token(out);
         match verdict {
--- a/crates/core/tests/pipeline/lost_token.rs
+++ b/crates/core/tests/pipeline/lost_token.rs
@@ -1,8 +1,9 @@
-//! A token that dies with the last stage.
+//! A token that is lost with the last stage.
 //!
-//! What was seen: two stages died at once, and one position ran again at the stage that survived. The order of events: the last stage
-//! chooses a token, and sends it to the first stage, which runs it, and to the entry, which never gets it. The cause: the entry's tokens
-//! are the only truth, so what ran past them counts as never run, and is cut back before it runs again.
+//! The last stage sends a chosen token both to the first stage, which runs it, and to the entry. If the
+//! last stage dies before the entry receives the token, a surviving stage has run a position that the
+//! entry does not know; this was found when two stages died at once. The entry's tokens are
+//! authoritative, so the position counts as never run: it is truncated and runs again, once.
 
 use super::choices::Choices;
 use super::daemon::SimDaemon;
@@ -49,7 +50,7 @@
         Pipeline { entry, daemons, request, choices: Choices::new(1), clock, net }
     }
 
-    /// Delivers what is under way, and lets engines run, until `stop` holds or nothing is left to do.
+    /// Delivers messages in flight and runs engines, until `stop` holds or nothing is left to do.
     fn run_until(&mut self, stop: impl Fn(&Pipeline, Option<&Outgoing>) -> bool) {
         loop {
             if stop(self, self.net.front()) {
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Lets each engine that lives begin or end a batch. Whether any had something to tell.
+    /// Makes four transitions at each engine that is alive. Returns whether any message was sent.
     fn turn(&mut self) -> bool {
         for _ in 0..4 {
             let now = self.clock.now();
@@ -91,7 +92,7 @@
         self.daemons.iter().filter(|daemon| daemon.alive).map(SimDaemon::hop).collect()
     }
 
-    /// The last stage dies; what it had not sent to the entry is lost.
+    /// Kills the last stage; its messages to the entry that are in flight are lost.
     fn kill_last(&mut self) {
         let dead = self.daemons[1].peer.addr;
         self.daemons[1].alive = false;
@@ -110,7 +111,7 @@
         out.is_some_and(|out| matches!(out.message, PipelineMessage::Token(_)))
     };
     pipeline.run_until(|now, next| now.request.driver.emitted() == 2 && is_token(next));
-    // The token waits for its way to the entry, while the first stage takes it as its next step and runs it.
+    // The token to the entry is held back while the first stage runs it as its next step.
     let token = pipeline.net.pop_front().expect("the token");
     pipeline.run_until(|_, next| next.is_some_and(|out| out.to == token.to));
     pipeline.net.push_back(token);
@@ -119,6 +120,6 @@
     pipeline.run_until(|now, _| now.request.driver.finished());
 
     assert!(pipeline.request.driver.finished(), "the answer is whole");
-    assert_eq!(pipeline.daemons[0].engine.again, 1, "one position, and only this one");
-    assert_eq!(pipeline.daemons[2].engine.again, 0);
+    assert_eq!(pipeline.daemons[0].engine.reruns, 1, "one position, and only this one");
+    assert_eq!(pipeline.daemons[2].engine.reruns, 0);
 }
--- a/crates/core/tests/pipeline/mod.rs
+++ b/crates/core/tests/pipeline/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet for the fuzz: real stage tables and drivers, a network and engines that fail.
+//! A simulated fleet for the fuzz test: real stage tables and drivers on a faulty network and faulty engines.
 
 pub mod choices;
 pub mod daemon;
--- a/crates/core/tests/pipeline/world.rs
+++ b/crates/core/tests/pipeline/world.rs
@@ -1,4 +1,4 @@
-//! The whole fleet: time, network, faults.
+//! Simulation of the whole fleet: time, network and faults.
 
 use super::choices::Choices;
 use super::daemon::SimDaemon;
@@ -14,18 +14,18 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Messages in flight; past it the oldest is lost, as in a full queue.
+/// Maximum number of messages in flight; beyond it the oldest are lost, as in a full queue.
 const MAX_IN_FLIGHT: usize = 2_000;
-/// Steps without faults within which all requests must end.
-const SETTLE_STEPS: usize = 60_000;
+/// Number of steps without faults within which all requests must end.
+const MAX_SETTLE_STEPS: usize = 60_000;
 
-/// What is on its way.
+/// A message or a link closure to deliver.
 enum Event {
     Message { from: SocketAddr, out: Outgoing },
     Closed { at: SocketAddr, peer: SocketAddr },
 }
 
-/// What a schedule did, for the sums over many.
+/// Counters of one schedule, summed over all schedules.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
     pub requests: u64,
@@ -40,7 +40,7 @@
     pub pauses: u64,
 }
 
-/// The whole fleet.
+/// State of the simulated fleet.
 pub struct World {
     choices: Choices,
     clock: ManualClock,
@@ -89,13 +89,13 @@
         }
     }
 
-    /// A schedule of `steps` steps with faults, then without until all requests have ended.
+    /// Runs `steps` steps with faults, then steps without faults until all requests have ended.
     pub fn run(&mut self, steps: usize) {
         for _ in 0..steps {
             self.step(true);
         }
-        self.heal();
-        for _ in 0..SETTLE_STEPS {
+        self.clear_faults();
+        for _ in 0..MAX_SETTLE_STEPS {
             if self.to_start == 0 && self.requests.values().all(|run| run.driver.finished()) {
                 break;
             }
@@ -112,11 +112,11 @@
     fn step(&mut self, faults: bool) {
         self.clock.advance(Duration::from_micros(200 + self.choices.below(800) as u64));
         if faults && self.choices.one_in(self.fault_odds) {
-            self.fault();
+            self.inject_fault();
         }
         match self.choices.below(10) {
             0 => self.start_request(),
-            1 => self.learn(),
+            1 => self.update_known(),
             2..5 => self.engine_turn(faults),
             _ => self.deliver(faults),
         }
@@ -141,8 +141,8 @@
         self.send(self.entry.addr, messages);
     }
 
-    /// The entry hears of a daemon again that it does not know, or knows as it was.
-    fn learn(&mut self) {
+    /// Updates the entry's knowledge of a random daemon: forgets a leaving one, adds or refreshes a running one.
+    fn update_known(&mut self) {
         let index = self.choices.below(self.daemons.len());
         let daemon = &self.daemons[index];
         if daemon.liveness == Liveness::Leaving {
@@ -162,7 +162,7 @@
         let from = daemon.peer.addr;
         let mut messages = daemon.turn(&mut self.choices, faults, self.fixed, self.clock.now());
         if daemon.liveness == Liveness::Leaving && self.choices.one_in(8) {
-            messages.extend(daemon.offer());
+            messages.extend(daemon.offer_handover());
         }
         self.send(from, messages);
     }
@@ -244,7 +244,7 @@
         self.send(self.entry.addr, messages);
     }
 
-    fn fault(&mut self) {
+    fn inject_fault(&mut self) {
         let index = self.choices.below(self.daemons.len());
         match self.choices.below(10) {
             0 => self.kill(index),
@@ -265,7 +265,8 @@
         }
     }
 
-    /// A daemon dies with what it had not sent yet; its peers see their links close, some sooner.
+    /// Kills a daemon, and drops about half of its messages in flight. Its peers see their links close, in
+    /// random order.
     fn kill(&mut self, index: usize) {
         if !self.daemons[index].alive {
             return;
@@ -280,7 +281,7 @@
         self.net.extend(closed);
     }
 
-    /// A link between two processes closes, and with it what was on it one way.
+    /// Closes a link between two processes, and drops the messages on it in one direction.
     fn close_link(&mut self, index: usize) {
         self.tally.closed += 1;
         let other = self.choices.below(self.daemons.len() + 1);
@@ -295,7 +296,7 @@
         }
     }
 
-    /// Nobody hears anything for longer than sessions are kept.
+    /// Advances the clock by [`SESSION_IDLE`] without messages, so that sessions expire.
     fn pause_all(&mut self) {
         self.tally.pauses += 1;
         self.clock.advance(SESSION_IDLE);
@@ -304,7 +305,7 @@
         running.for_each(|daemon| daemon.expire(now));
     }
 
-    fn heal(&mut self) {
+    fn clear_faults(&mut self) {
         for daemon in &mut self.daemons {
             daemon.frozen = false;
             if !daemon.alive || daemon.liveness == Liveness::Leaving {
@@ -313,9 +314,9 @@
         }
     }
 
-    /// Closes may be lost; all the same nothing is held for long.
+    /// Checks that everything is freed in the end, even if `Close` messages were lost.
     fn check_freed(&mut self) {
-        for _ in 0..SETTLE_STEPS {
+        for _ in 0..MAX_SETTLE_STEPS {
             if self.net.is_empty() {
                 break;
             }
--- a/crates/core/tests/pipeline_fuzz.rs
+++ b/crates/core/tests/pipeline_fuzz.rs
@@ -1,17 +1,18 @@
-//! Random schedules of steps, losses, repeats, reorderings, kills, freezes, wakes, drains and
-//! repairs over several requests and replicas, against an oracle: each token that is emitted was
-//! made by each layer once, in order, from the tokens before it; each request ends; all is freed.
+//! Fuzz test of pipeline requests: random schedules of steps, losses, duplicates, reorderings, kills,
+//! freezes, wakes, drains and repairs over several requests and replicas. An oracle checks that each
+//! layer ran every emitted token once, in order, from the tokens before it, that each request ends, and
+//! that everything is freed.
 
 mod pipeline;
 
 use pipeline::world::{Tally, World};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// The first seed; a failure prints the one that failed.
+/// The first seed; a failure prints the failing seed.
 const SEED: u64 = 20_261_202;
-/// Schedules in CI.
+/// Number of schedules in CI.
 const SCHEDULES: u64 = 2_000;
-/// Most steps with faults in a schedule.
+/// Exclusive upper bound of the steps with faults in a schedule.
 const STEPS: u64 = 3_000;
 
 #[test]
--- a/crates/core/tests/stall.rs
+++ b/crates/core/tests/stall.rs
@@ -1,4 +1,4 @@
-//! The stall detector: it nudges, asks, and blames only who stays silent or can't go on.
+//! The stall detector nudges, then probes, and blames only stages that stay silent or cannot continue.
 
 use sorrellock_core::clock::{Clock, ManualClock};
 use sorrellock_core::request::{StageProgress, StallAction, StallDetector};
@@ -7,7 +7,7 @@
 const STAGES: u16 = 3;
 const INTERVAL: Duration = Duration::from_millis(10);
 
-/// A request that has made tokens at an even pace.
+/// Returns the detector of a request that has received tokens at a steady pace.
 fn flowing(clock: &ManualClock) -> StallDetector {
     let mut detector = StallDetector::new(clock.now());
     for _ in 0..20 {
@@ -17,7 +17,7 @@
     detector
 }
 
-/// Lets time pass until the detector does something, and tells what and after how long.
+/// Advances the clock until the detector returns an action, and returns it with the elapsed time.
 fn next_action(detector: &mut StallDetector, clock: &ManualClock) -> (StallAction, Duration) {
     let start = clock.now();
     loop {
