--- a/crates/core/src/request/stage/output.rs
+++ b/crates/core/src/request/stage/output.rs
@@ -34,9 +34,9 @@
     pub ready: Vec<(u8, RequestKey)>,
     /// KV caches to free.
     pub releases: Vec<String>,
-    /// KV caches to export; the result goes to [`StageTable::on_exported`].
+    /// KV caches to export; the result goes to [`StageTable::on_exported`](crate::request::StageTable::on_exported).
     pub exports: Vec<KvExport>,
-    /// KV caches to import; the result goes to [`StageTable::on_imported`].
+    /// KV caches to import; the result goes to [`StageTable::on_imported`](crate::request::StageTable::on_imported).
     pub imports: Vec<(RequestKey, String, Handover)>,
     /// Events to count.
     pub counts: Vec<StageCount>,
--- a/crates/core/tests/pipeline/world.rs
+++ b/crates/core/tests/pipeline/world.rs
@@ -265,8 +265,8 @@
         }
     }
 
-    /// Kills a daemon, and drops about half of its messages in flight. Its peers see their links close, in
-    /// random order.
+    /// Kills a daemon, and drops about half of its messages in flight. Its peers see their links close at
+    /// different times.
     fn kill(&mut self, index: usize) {
         if !self.daemons[index].alive {
             return;
