--- a/crates/core/src/version/spreading/event.rs
+++ b/crates/core/src/version/spreading/event.rs
@@ -73,5 +73,5 @@
         message: ConfigMessage,
     },
     /// Count it, and tell people.
-    Tell(ConfigEvent),
+    Report(ConfigEvent),
 }
--- a/crates/core/src/version/spreading/spread.rs
+++ b/crates/core/src/version/spreading/spread.rs
@@ -375,6 +375,6 @@
     }
 
     pub(super) fn tell(&mut self, event: ConfigEvent) {
-        self.effects.push(Effect::Tell(event));
+        self.effects.push(Effect::Report(event));
     }
 }
--- a/crates/core/tests/config_spread/focused.rs
+++ b/crates/core/tests/config_spread/focused.rs
@@ -86,7 +86,7 @@
 
 fn events(spread: &mut Spread<ManualClock>) -> Vec<ConfigEvent> {
     let tell = |effect| match effect {
-        Effect::Tell(event) => Some(event),
+        Effect::Report(event) => Some(event),
         Effect::Send { .. } => None,
     };
     spread.take_effects().into_iter().filter_map(tell).collect()
@@ -95,7 +95,7 @@
 fn sent(spread: &mut Spread<ManualClock>) -> Vec<ConfigMessage> {
     let message = |effect| match effect {
         Effect::Send { message, .. } => Some(message),
-        Effect::Tell(_) => None,
+        Effect::Report(_) => None,
     };
     spread.take_effects().into_iter().filter_map(message).collect()
 }
--- a/crates/core/tests/config_spread/world.rs
+++ b/crates/core/tests/config_spread/world.rs
@@ -240,7 +240,7 @@
         let Some(spread) = &mut self.daemons[number].spread else { return };
         for effect in spread.take_effects() {
             match effect {
-                Effect::Tell(event) => self.events.push((number, event)),
+                Effect::Report(event) => self.events.push((number, event)),
                 Effect::Send { to, message } => self.send(number, to, message),
             }
         }
--- a/crates/daemon/src/process/config_agent.rs
+++ b/crates/daemon/src/process/config_agent.rs
@@ -222,7 +222,7 @@
         let was_ready = spread.is_ready();
         step(&mut spread);
         let effects = spread.take_effects();
-        let applied = |effect: &Effect| matches!(effect, Effect::Tell(ConfigEvent::Applied { .. }));
+        let applied = |effect: &Effect| matches!(effect, Effect::Report(ConfigEvent::Applied { .. }));
         if effects.iter().any(applied) {
             // Under the lock, so that no earlier view takes the place of a later one.
             self.view.store(Arc::new(spread.view().clone()));
@@ -236,7 +236,7 @@
         for effect in effects {
             match effect {
                 Effect::Send { to, message } => self.send(link, to, message),
-                Effect::Tell(event) => self.tell(event, was_ready),
+                Effect::Report(event) => self.tell(event, was_ready),
             }
         }
     }
