--- a/crates/bench/benches/config/agent.rs
+++ b/crates/bench/benches/config/agent.rs
@@ -40,7 +40,7 @@
     let mut spread = Spread::new(SpreadSettings::new(), SystemClock, peer(0), 1);
     let start = Instant::now();
     for _ in 0..ROUNDS {
-        spread.learn_peers(&view);
+        spread.update_peers(&view);
     }
     let per = |start: Instant| start.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS);
     figure(&format!("learn_peers_us.{MEMBERS}"), per(start), "us");
--- a/crates/core/src/version/spreading/spread.rs
+++ b/crates/core/src/version/spreading/spread.rs
@@ -111,7 +111,7 @@
     }
 
     /// Takes in who is live; to be called whenever that changes.
-    pub fn learn_peers(&mut self, peers: &impl ConfigPeers) {
+    pub fn update_peers(&mut self, peers: &impl ConfigPeers) {
         self.place_peers = peers.of_place();
         self.remote_peers = peers.of_other_places();
         self.choose_watchers();
--- a/crates/core/tests/config_spread/focused.rs
+++ b/crates/core/tests/config_spread/focused.rs
@@ -43,7 +43,7 @@
 fn alone() -> (Spread<ManualClock>, ManualClock) {
     let clock = ManualClock::new();
     let mut spread = Spread::new(SpreadSettings::new(), clock.clone(), peer(1), 1);
-    spread.learn_peers(&Known::default());
+    spread.update_peers(&Known::default());
     spread.tick();
     (spread, clock)
 }
@@ -282,7 +282,7 @@
 
     let at_once = spread.is_ready();
     clock.advance(SpreadSettings::new().join_grace);
-    spread.learn_peers(&Known::default());
+    spread.update_peers(&Known::default());
     spread.tick();
 
     assert!(!at_once && spread.is_ready());
@@ -298,7 +298,7 @@
     spread.on_message(peer(2), ConfigMessage::Summary { applied: 9, ask: false });
 
     clock.advance(SOON);
-    spread.learn_peers(&known);
+    spread.update_peers(&known);
     spread.tick();
     let behind = spread.is_ready();
     let digest =
--- a/crates/core/tests/config_spread/world.rs
+++ b/crates/core/tests/config_spread/world.rs
@@ -234,7 +234,7 @@
     fn run(&mut self, number: usize) {
         let daemon = &mut self.daemons[number];
         let Some(spread) = &mut daemon.spread else { return };
-        spread.learn_peers(&daemon.peers);
+        spread.update_peers(&daemon.peers);
         spread.tick();
         self.call_store(number);
         let Some(spread) = &mut self.daemons[number].spread else { return };
--- a/crates/daemon/src/process/config_agent.rs
+++ b/crates/daemon/src/process/config_agent.rs
@@ -143,7 +143,7 @@
     fn run<L: Link>(&self, inputs: &Receiver<(Peer, ConfigMessage)>, link: &L) {
         let mut next = Instant::now();
         let mut members = self.fleet.view();
-        self.drive(link, |spread| spread.learn_peers(&*members));
+        self.drive(link, |spread| spread.update_peers(&*members));
         while !self.is_stopped() {
             match inputs.recv_deadline(next) {
                 Ok((from, message)) => {
@@ -153,7 +153,7 @@
                     let now = self.fleet.view();
                     if !Arc::ptr_eq(&now, &members) {
                         members = now;
-                        self.drive(link, |spread| spread.learn_peers(&*members));
+                        self.drive(link, |spread| spread.update_peers(&*members));
                     }
                     self.drive(link, Spread::tick);
                     next = Instant::now() + TICK;
