--- a/crates/core/src/version/check.rs
+++ b/crates/core/src/version/check.rs
@@ -16,12 +16,12 @@
     /// The value refused.
     pub value: String,
     /// What to enter instead.
-    pub mend: String,
+    pub fix: String,
 }
 
 impl fmt::Display for FieldError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {} is `{}`; {}", self.subject, self.field, self.value, self.mend)
+        write!(f, "{}: {} is `{}`; {}", self.subject, self.field, self.value, self.fix)
     }
 }
 
@@ -32,9 +32,9 @@
     subject: &str,
     field: &'static str,
     value: impl fmt::Display,
-    mend: impl Into<String>,
+    fix: impl Into<String>,
 ) -> FieldError {
-    FieldError { subject: subject.to_owned(), field, value: value.to_string(), mend: mend.into() }
+    FieldError { subject: subject.to_owned(), field, value: value.to_string(), fix: fix.into() }
 }
 
 /// Takes names that can stand in a path, a header and a cell alike.
@@ -44,10 +44,10 @@
     if starts_well && name.len() <= MAX_NAME_BYTES && name.chars().all(fits) {
         return Ok(());
     }
-    let mend = format!(
+    let fix = format!(
         "give 1 to {MAX_NAME_BYTES} letters, digits, `.`, `_` or `-`, a letter or digit first"
     );
-    Err(refuse(subject, field, name, mend))
+    Err(refuse(subject, field, name, fix))
 }
 
 /// Takes values within a range; NaN is in none.
@@ -60,6 +60,6 @@
     if range.contains(&value) {
         return Ok(());
     }
-    let mend = format!("give {} to {}", range.start(), range.end());
-    Err(refuse(subject, field, value, mend))
+    let fix = format!("give {} to {}", range.start(), range.end());
+    Err(refuse(subject, field, value, fix))
 }
--- a/crates/core/src/version/column.rs
+++ b/crates/core/src/version/column.rs
@@ -101,11 +101,11 @@
 }
 
 fn number<T: FromStr>(subject: &str, column: Column, text: &str) -> Result<T, FieldError> {
-    let mend = match column {
+    let fix = match column {
         Column::InFlight | Column::DeadlineMs => "give a whole number of 0 or more",
         _ => "give a number",
     };
-    text.parse().map_err(|_| refuse(subject, column.name(), text, mend))
+    text.parse().map_err(|_| refuse(subject, column.name(), text, fix))
 }
 
 fn class(subject: &str, text: &str) -> Result<Class, FieldError> {
--- a/crates/core/src/version/workspace.rs
+++ b/crates/core/src/version/workspace.rs
@@ -43,12 +43,12 @@
         check_name(&subject, "name", &self.id)?;
         let is_digit = |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c);
         if self.key_hash.len() != KEY_HASH_DIGITS || !self.key_hash.chars().all(is_digit) {
-            let mend = "give the SHA-256 of the key, 64 lower-case hex digits";
-            return Err(refuse(&subject, "key_hash", &self.key_hash, mend));
+            let fix = "give the SHA-256 of the key, 64 lower-case hex digits";
+            return Err(refuse(&subject, "key_hash", &self.key_hash, fix));
         }
         if self.may_call.len() > MAX_MAY_CALL {
-            let mend = format!("name {MAX_MAY_CALL} pipelines and services at most");
-            return Err(refuse(&subject, "may_call", self.may_call.len(), mend));
+            let fix = format!("name {MAX_MAY_CALL} pipelines and services at most");
+            return Err(refuse(&subject, "may_call", self.may_call.len(), fix));
         }
         self.may_call.iter().try_for_each(|name| check_name(&subject, "may_call", name))
     }
--- a/crates/ports/tests/config_store.rs
+++ b/crates/ports/tests/config_store.rs
@@ -81,7 +81,7 @@
 
         let ConfigError::Field(err) = err else { panic!("{column} {value}: {err}") };
         assert_eq!((err.field, err.value.as_str()), (field, value));
-        assert!(err.mend.starts_with("give "), "{err}");
+        assert!(err.fix.starts_with("give "), "{err}");
     }
     assert_eq!(store.puts(), puts);
 }
