--- a/crates/daemon/src/process/config_agent.rs
+++ b/crates/daemon/src/process/config_agent.rs
@@ -222,7 +222,8 @@
         let was_ready = spread.is_ready();
         step(&mut spread);
         let effects = spread.take_effects();
-        let applied = |effect: &Effect| matches!(effect, Effect::Report(ConfigEvent::Applied { .. }));
+        let applied =
+            |effect: &Effect| matches!(effect, Effect::Report(ConfigEvent::Applied { .. }));
         if effects.iter().any(applied) {
             // Under the lock, so that no earlier view takes the place of a later one.
             self.view.store(Arc::new(spread.view().clone()));
