--- a/crates/core/src/version/check.rs
+++ b/crates/core/src/version/check.rs
@@ -1,19 +1,19 @@
-//! Checks of what operators enter: each refusal names the field, the value and the mend.
+//! Validation of operators' input. Each error names the field, the value and how to fix it.
 
 use std::fmt;
 use std::ops::RangeInclusive;
 
-/// Longest name of a workspace, kind, pipeline, service or model, in bytes.
+/// Maximum length of the name of a workspace, kind, pipeline, service or model, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// A field whose value is refused.
+/// An invalid value of a field.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FieldError {
-    /// What the field belongs to, such as `row treasury/default`.
+    /// The item that the field belongs to, such as `row treasury/default`.
     pub subject: String,
-    /// The field, by its name in the table.
+    /// The name of the field in the table.
     pub field: &'static str,
-    /// The value refused.
+    /// The invalid value.
     pub value: String,
     /// What to enter instead.
     pub fix: String,
@@ -27,7 +27,7 @@
 
 impl std::error::Error for FieldError {}
 
-/// Refuses a field's value.
+/// Creates the error for an invalid value of a field.
 pub(crate) fn refuse(
     subject: &str,
     field: &'static str,
@@ -37,7 +37,7 @@
     FieldError { subject: subject.to_owned(), field, value: value.to_string(), fix: fix.into() }
 }
 
-/// Takes names that can stand in a path, a header and a cell alike.
+/// Checks that a name can be used in a path, a header and a cell of the table.
 pub(crate) fn check_name(subject: &str, field: &'static str, name: &str) -> Result<(), FieldError> {
     let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
     let starts_well = name.starts_with(|c: char| c.is_ascii_alphanumeric());
@@ -50,7 +50,7 @@
     Err(refuse(subject, field, name, fix))
 }
 
-/// Takes values within a range; NaN is in none.
+/// Checks that a value is within a range; NaN is in no range.
 pub(crate) fn check_range<T: PartialOrd + fmt::Display + Copy>(
     subject: &str,
     field: &'static str,
--- a/crates/core/src/version/column.rs
+++ b/crates/core/src/version/column.rs
@@ -1,14 +1,14 @@
-//! The columns of the shared table, and how a cell is read and set as text.
+//! The columns of the shared table, and their cells as text.
 
 use crate::version::check::refuse;
 use crate::version::{Class, FieldError, Item, Row};
 use std::fmt;
 use std::str::FromStr;
 
-/// A column of the shared table that operators set.
+/// A column of the shared table that operators edit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Column {
-    /// Share inside the class.
+    /// Relative share among the rows of the same class.
     Weight,
     /// Requests per second.
     RequestsPerS,
@@ -18,14 +18,14 @@
     InFlight,
     /// Urgent or routine.
     Class,
-    /// Deadline where the caller names none.
+    /// Default deadline of a request, in milliseconds.
     DeadlineMs,
-    /// Whether a request may be run again.
+    /// Whether a request may be run more than once.
     Idempotent,
 }
 
 impl Column {
-    /// All of them, in the order of the table.
+    /// All columns, in the order of the table.
     pub const ALL: [Column; 7] = [
         Column::Weight,
         Column::RequestsPerS,
@@ -36,7 +36,7 @@
         Column::Idempotent,
     ];
 
-    /// The name in the table.
+    /// Returns the column's name in the table.
     pub fn name(self) -> &'static str {
         match self {
             Column::Weight => "weight",
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The column of a name.
+    /// Finds a column by its name.
     pub fn parse(name: &str) -> Option<Column> {
         Column::ALL.into_iter().find(|column| column.name() == name)
     }
@@ -62,7 +62,7 @@
 }
 
 impl Row {
-    /// The value of a cell, as operators see and enter it.
+    /// Formats the value of a cell as operators see and enter it.
     pub fn cell(&self, column: Column) -> String {
         match column {
             Column::Weight => self.weight.to_string(),
@@ -75,17 +75,17 @@
         }
     }
 
-    /// Sets a cell from what an operator entered, and refuses what is out of range; a refused
-    /// value leaves the row as it was.
+    /// Sets a cell from an operator's input. Returns an error and leaves the row unchanged if the value is malformed
+    /// or out of range.
     pub fn set_cell(&mut self, column: Column, text: &str) -> Result<(), FieldError> {
         let mut row = self.clone();
-        row.read_cell(column, text.trim())?;
+        row.parse_cell(column, text.trim())?;
         row.check()?;
         *self = row;
         Ok(())
     }
 
-    fn read_cell(&mut self, column: Column, text: &str) -> Result<(), FieldError> {
+    fn parse_cell(&mut self, column: Column, text: &str) -> Result<(), FieldError> {
         let subject = self.subject();
         match column {
             Column::Weight => self.weight = number(&subject, column, text)?,
@@ -94,7 +94,7 @@
             Column::InFlight => self.in_flight = number(&subject, column, text)?,
             Column::Class => self.class = class(&subject, text)?,
             Column::DeadlineMs => self.deadline_ms = number(&subject, column, text)?,
-            Column::Idempotent => self.idempotent = truth(&subject, text)?,
+            Column::Idempotent => self.idempotent = boolean(&subject, text)?,
         }
         Ok(())
     }
@@ -116,7 +116,7 @@
     }
 }
 
-fn truth(subject: &str, text: &str) -> Result<bool, FieldError> {
+fn boolean(subject: &str, text: &str) -> Result<bool, FieldError> {
     match text {
         "true" | "yes" => Ok(true),
         "false" | "no" => Ok(false),
--- a/crates/core/src/version/config_view.rs
+++ b/crates/core/src/version/config_view.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, as the path of a request reads it.
+//! The configuration in force, as it is read while a request is handled.
 
 use crate::id::Revision;
 use crate::version::key_index::KeyIndex;
@@ -8,12 +8,12 @@
 };
 use std::sync::Arc;
 
-/// The configuration in force. A clone shares all pages with its original, and applying a page
-/// copies nothing of the others, so that a new version for the readers costs one page and some
-/// counting of references, however many workspaces there are.
+/// The configuration in force. A clone shares all pages with the original, and applying a page copies none of the
+/// others. Publishing a new version to readers therefore costs one page and some reference counting, however many
+/// workspaces there are.
 #[derive(Clone, Debug)]
 pub struct ConfigView {
-    /// By [`PageId::index`].
+    /// Indexed by [`PageId::index`].
     pages: Vec<Option<Arc<HeldPage>>>,
     by_key: KeyIndex,
 }
@@ -25,7 +25,7 @@
     items: HeldItems,
 }
 
-/// The items of a page in force, in order of what they are looked up by.
+/// The items of a page in force, sorted by their lookup key.
 #[derive(Debug)]
 enum HeldItems {
     Table(RowTable),
@@ -34,22 +34,22 @@
 }
 
 impl ConfigView {
-    /// No configuration.
+    /// Creates an empty configuration.
     pub fn new() -> ConfigView {
         ConfigView { pages: vec![None; PageId::COUNT], by_key: KeyIndex::new() }
     }
 
-    /// The workspace whose callers send `key`; the first in order of name, should several.
+    /// Finds the workspace whose callers send `key`. If several have this key, returns the first by name.
     pub fn workspace(&self, key: &str) -> Option<&Arc<Workspace>> {
         self.by_key.get(&key_hash(key))
     }
 
-    /// The pipeline of a name.
+    /// Finds a pipeline by its name.
     pub fn pipeline(&self, id: &str) -> Option<&Pipeline> {
         self.pipelines().iter().find(|pipeline| pipeline.id == id)
     }
 
-    /// All pipelines, in order of name.
+    /// Returns all pipelines, sorted by name.
     pub fn pipelines(&self) -> &[Pipeline] {
         match self.items(PageId::Pipelines) {
             Some(HeldItems::Pipelines(pipelines)) => pipelines,
@@ -57,15 +57,15 @@
         }
     }
 
-    /// The row for a workspace and kind; the workspace's default row where there is none, and the
-    /// built-in one where there is none of these either.
+    /// Returns the row for a workspace and kind. Falls back to the workspace's default row, then to the built-in
+    /// defaults.
     pub fn row(&self, workspace: &str, kind: &str) -> Arc<Row> {
         let row = self.own_row(workspace, kind);
         let row = row.or_else(|| self.own_row(workspace, crate::version::DEFAULT_KIND));
         row.cloned().unwrap_or_else(|| Arc::new(Row::new(workspace, kind)))
     }
 
-    /// All rows.
+    /// Iterates over all rows.
     pub fn rows(&self) -> impl Iterator<Item = &Arc<Row>> {
         self.pages.iter().flatten().flat_map(|page| match &page.items {
             HeldItems::Table(table) => table.rows(),
@@ -73,18 +73,18 @@
         })
     }
 
-    /// The revision in force of a page, 0 for none.
+    /// Returns the revision of a page in force, or 0 if the page isn't in force.
     pub fn revision(&self, page: PageId) -> Revision {
         self.pages[page.index()].as_ref().map_or(0, |page| page.revision)
     }
 
-    /// The pages in force, with their revisions.
+    /// Iterates over the pages in force, with their revisions.
     pub fn revisions(&self) -> impl Iterator<Item = (PageId, Revision)> {
         let pages = self.pages.iter().enumerate();
         pages.filter_map(|(index, page)| Some((PageId::at(index), page.as_ref()?.revision)))
     }
 
-    /// The page in force, to be given to a peer.
+    /// Copies the page in force, to be sent to a peer.
     pub fn copy_of(&self, page: PageId) -> Option<PageCopy> {
         let held = self.pages[page.index()].as_ref()?;
         let body = match &held.items {
@@ -95,8 +95,7 @@
         Some(PageCopy { page, revision: held.revision, body })
     }
 
-    /// Reads and takes the value of a configuration object, if its revision is higher than the one
-    /// in force.
+    /// Parses and applies the value of a configuration object if its revision is higher than the one in force.
     pub fn apply_value(
         &mut self,
         page: PageId,
@@ -109,7 +108,7 @@
         Ok(())
     }
 
-    /// Takes a page that a peer gave, if its revision is higher than the one in force.
+    /// Applies a page that a peer sent if its revision is higher than the one in force.
     pub fn apply_copy(&mut self, copy: PageCopy) -> Result<(), PageError> {
         let PageCopy { page, revision, body } = copy;
         self.check_newer(page, revision)?;
@@ -151,19 +150,21 @@
 }
 
 impl HeldItems {
-    /// Puts items in order; those that are as they were stay the same in memory.
+    /// Sorts the items. Items that are equal to those in `old` share memory with them.
     fn new(body: PageBody, old: Option<&HeldItems>) -> HeldItems {
         match (body, old) {
             (PageBody::Table(rows), Some(HeldItems::Table(old))) => {
-                HeldItems::Table(RowTable::new(share(rows, old.rows(), place_of)))
+                HeldItems::Table(RowTable::new(reuse_unchanged(rows, old.rows(), row_key)))
             }
             (PageBody::Table(rows), _) => {
-                HeldItems::Table(RowTable::new(share(rows, &[], place_of)))
+                HeldItems::Table(RowTable::new(reuse_unchanged(rows, &[], row_key)))
             }
             (PageBody::Workspaces(items), Some(HeldItems::Workspaces(old))) => {
-                HeldItems::Workspaces(share(items, old, id_of))
+                HeldItems::Workspaces(reuse_unchanged(items, old, workspace_key))
+            }
+            (PageBody::Workspaces(items), _) => {
+                HeldItems::Workspaces(reuse_unchanged(items, &[], workspace_key))
             }
-            (PageBody::Workspaces(items), _) => HeldItems::Workspaces(share(items, &[], id_of)),
             (PageBody::Pipelines(mut items), _) => {
                 items.sort_by(|a, b| a.id.cmp(&b.id));
                 HeldItems::Pipelines(items)
@@ -172,7 +173,8 @@
     }
 }
 
-fn share<T: PartialEq>(
+/// Sorts items by `key` and replaces those that are equal to an item in `old` by a reference to that item.
+fn reuse_unchanged<T: PartialEq>(
     mut items: Vec<T>,
     old: &[Arc<T>],
     key: impl Fn(&T) -> Key<'_>,
@@ -186,14 +188,14 @@
     items.into_iter().map(shared).collect()
 }
 
-/// What the items of a page are in order of.
+/// The sort key of the items of a page.
 type Key<'a> = (&'a str, &'a str);
 
-fn place_of(row: &Row) -> Key<'_> {
+fn row_key(row: &Row) -> Key<'_> {
     (&row.workspace, &row.kind)
 }
 
-fn id_of(workspace: &Workspace) -> Key<'_> {
+fn workspace_key(workspace: &Workspace) -> Key<'_> {
     (&workspace.id, "")
 }
 
--- a/crates/core/src/version/in_force.rs
+++ b/crates/core/src/version/in_force.rs
@@ -1,22 +1,22 @@
-//! Where a change is in force.
+//! Counts the members of the fleet that have a change in force.
 
 use crate::id::Revision;
 use crate::process::membership::Member;
 use crate::request::Peer;
 
-/// Where all configuration up to some revision is in force.
+/// How many members have all configuration up to some revision in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct InForce {
-    /// The present members where it is.
+    /// Number of present members that have it in force.
     pub at: usize,
-    /// All present members, the leaving ones too, as they still serve.
+    /// Number of all present members, including those that are leaving, as they still serve requests.
     pub of: usize,
-    /// Those where it is not yet, or that have not told so yet.
+    /// Present members that don't have it in force, or haven't announced it yet.
     pub missing: Vec<Peer>,
 }
 
 impl InForce {
-    /// Counts the members where all up to `revision` is in force, as they told of themselves.
+    /// Counts the members that announced that all configuration up to `revision` is in force.
     pub fn count<'a>(members: impl IntoIterator<Item = &'a Member>, revision: Revision) -> InForce {
         let mut found = InForce::default();
         for member in members.into_iter().filter(|member| member.is_present()) {
@@ -30,7 +30,7 @@
         found
     }
 
-    /// Whether it is in force everywhere; not if no member is known.
+    /// Whether all present members have it in force; `false` if no member is known.
     pub fn is_everywhere(&self) -> bool {
         self.of > 0 && self.at == self.of
     }
--- a/crates/core/src/version/mod.rs
+++ b/crates/core/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as one version of the configuration.
+//! The configuration: its pages and items, the view of the version in force, and how versions spread between daemons.
 
 mod check;
 mod column;
--- a/crates/core/src/version/page.rs
+++ b/crates/core/src/version/page.rs
@@ -1,4 +1,4 @@
-//! Pages: the configuration is cut into objects that stay far below the store's largest value.
+//! Pages: the configuration is split into objects that stay far below the store's limit on value size.
 
 use crate::id::Revision;
 use crate::version::{Item, PageError};
@@ -7,37 +7,37 @@
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How many pages hold the rows of the shared table, and as many the workspaces.
-/// 18,000 workspaces give about 70 a page.
+/// Number of pages for the rows of the shared table, and also the number of pages for workspaces.
+/// With 18,000 workspaces, a page holds about 70 of them.
 pub const PAGES: u16 = 256;
-/// Prefix of all configuration in the store.
+/// Key prefix of all configuration in the store.
 pub const CONFIG_PREFIX: &str = "config/";
-/// Largest page taken, in bytes of JSON; the store takes no larger value.
+/// Maximum size of a page in bytes of JSON; the store accepts no larger value.
 pub const MAX_PAGE_BYTES: usize = 1 << 20;
-/// Changes that a page remembers; a lost answer is settled by its change's id among them.
+/// Number of recent changes kept in a page. A writer whose answer was lost looks for its change's id among them.
 pub const RECENT_CHANGES: usize = 32;
 
-/// Which page holds what belongs to a workspace.
+/// Returns the number of the page that holds a workspace and its rows.
 pub fn page_of(workspace: &str) -> u16 {
     (xxh3_64(workspace.as_bytes()) % u64::from(PAGES)) as u16
 }
 
-/// Names one object of the configuration.
+/// Identifies one object of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum PageId {
-    /// A page of rows of the shared table.
+    /// A page with rows of the shared table.
     Table(u16),
-    /// A page of workspaces.
+    /// A page with workspaces.
     Workspaces(u16),
-    /// All pipelines.
+    /// The page with all pipelines.
     Pipelines,
 }
 
 impl PageId {
-    /// How many pages there can be.
+    /// Number of pages.
     pub const COUNT: usize = 2 * PAGES as usize + 1;
 
-    /// Its number among all pages, below [`PageId::COUNT`].
+    /// Returns the page's number among all pages, below [`PageId::COUNT`].
     pub fn index(self) -> usize {
         match self {
             PageId::Table(page) => usize::from(page),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The page of a number below [`PageId::COUNT`].
+    /// Returns the page with a number below [`PageId::COUNT`].
     pub fn at(index: usize) -> PageId {
         let pages = usize::from(PAGES);
         match index {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Whether there is such a page; a message can name one that there is not.
+    /// Whether the page number is valid; a message from a peer can contain an invalid one.
     pub fn exists(self) -> bool {
         match self {
             PageId::Table(page) | PageId::Workspaces(page) => page < PAGES,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Its key in the store.
+    /// Returns the page's key in the store.
     pub fn key(&self) -> String {
         match self {
             PageId::Table(page) => format!("{CONFIG_PREFIX}table/{page:03}"),
@@ -73,20 +73,20 @@
         }
     }
 
-    /// The page that lies under a key, if it is one.
+    /// Parses a key of the store. Returns `None` if it isn't the key of a page.
     pub fn parse(key: &str) -> Option<PageId> {
         let rest = key.strip_prefix(CONFIG_PREFIX)?;
         if rest == "pipelines" {
             return Some(PageId::Pipelines);
         }
-        let (sort, number) = rest.split_once('/')?;
+        let (page_type, number) = rest.split_once('/')?;
         let number = number.parse().ok().filter(|number| *number < PAGES)?;
-        let page = match sort {
+        let page = match page_type {
             "table" => PageId::Table(number),
             "workspaces" => PageId::Workspaces(number),
             _ => return None,
         };
-        // Only one spelling is a page: `table/7` is none.
+        // Accepts the canonical spelling only: `table/007`, not `table/7`.
         (page.key() == key).then_some(page)
     }
 }
@@ -97,42 +97,42 @@
     }
 }
 
-/// Who changed something, and when.
+/// Author and time of a change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Drawn anew for each change; settles a lost answer by reading back.
+    /// Random id of the change. After a lost answer, the writer reads the page back and looks for it.
     pub id: u64,
-    /// The operator.
+    /// The operator who made the change.
     pub by: String,
-    /// Milliseconds since the Unix epoch, for people only.
+    /// Milliseconds since the Unix epoch; for display only.
     pub at_ms: u64,
-    /// The revision of the store at which it took effect; 0 in the page that it wrote itself, as
-    /// its writer can't know it: there it is the revision of the page.
+    /// The revision of the store at which the change took effect. It is 0 in the page that the change itself wrote,
+    /// as the writer can't know the revision in advance; there, the revision of the page applies.
     pub revision: Revision,
 }
 
 impl Change {
-    /// The revision at which it took effect, as read from a page at `page_revision`.
+    /// Returns the revision at which the change took effect, for a page read at `page_revision`.
     pub fn revision_in(&self, page_revision: Revision) -> Revision {
         if self.revision == 0 { page_revision } else { self.revision }
     }
 }
 
-/// An item with its last change.
+/// An item and its last change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Versioned<T> {
     /// The item.
     pub item: T,
-    /// Its last change.
+    /// The last change of the item.
     pub change: Change,
 }
 
 /// The value of a configuration object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Page<T> {
-    /// The last changes of the page, newest last, at most [`RECENT_CHANGES`].
+    /// The latest changes of the page, newest last, at most [`RECENT_CHANGES`].
     pub recent: Vec<Change>,
-    /// Its content, in order of name.
+    /// The items, sorted by name.
     pub items: Vec<Versioned<T>>,
 }
 
@@ -143,7 +143,7 @@
 }
 
 impl<T: Item> Page<T> {
-    /// A page of items that one change wrote.
+    /// Creates a page whose items were all written by one change.
     pub fn new(change: Change, items: Vec<T>) -> Page<T> {
         let versioned = |item| Versioned { item, change: change.clone() };
         let mut items: Vec<_> = items.into_iter().map(versioned).collect();
@@ -151,19 +151,18 @@
         Page { recent: vec![change], items }
     }
 
-    /// The item of a name.
+    /// Finds an item by its name.
     pub fn get(&self, name: &str) -> Option<&Versioned<T>> {
         self.items.iter().find(|versioned| versioned.item.name() == name)
     }
 
-    /// Refuses what may not be in force as page `id`.
+    /// Checks that the content is valid for page `id`.
     pub fn check(&self, id: PageId) -> Result<(), PageError> {
         check_items(id, self.items.iter().map(|versioned| &versioned.item))
     }
 }
 
-/// Takes items that may be in force as page `id`: each is sound, belongs there, and is alone under
-/// its name.
+/// Checks the items of page `id`: each must be valid, belong to this page and have a unique name.
 pub(crate) fn check_items<'a, T: Item>(
     id: PageId,
     items: impl IntoIterator<Item = &'a T>,
@@ -176,7 +175,7 @@
             return Err(PageError::malformed(id, detail));
         }
         if !names.insert(item.name()) {
-            return Err(PageError::malformed(id, format!("`{}` stands twice", item.name())));
+            return Err(PageError::malformed(id, format!("`{}` occurs twice", item.name())));
         }
     }
     Ok(())
--- a/crates/core/src/version/page_body.rs
+++ b/crates/core/src/version/page_body.rs
@@ -1,14 +1,14 @@
-//! The content of a page without its history: what daemons hold, and give each other.
+//! The content of a page without its history, as daemons hold it and send it to each other.
 
 use crate::id::Revision;
 use crate::version::{Item, Page, PageError, PageId, Pipeline, Row, Workspace, check_items};
 use serde::{Deserialize, Serialize};
 
-/// Bytes that a row takes in a message besides its two names.
+/// Approximate encoded size of a row in a message, without its two names.
 const ROW_BYTES: usize = 36;
-/// Bytes that a workspace takes in a message besides its name and those it may call.
+/// Approximate encoded size of a workspace in a message, without its name and the names in `may_call`.
 const WORKSPACE_BYTES: usize = 68;
-/// Bytes that a name takes in a message besides its letters.
+/// Encoded size of a name's length prefix in a message.
 const NAME_BYTES: usize = 1;
 
 /// The content of a page without its history.
@@ -22,19 +22,19 @@
     Pipelines(Vec<Pipeline>),
 }
 
-/// A page at a revision, as daemons give it to each other.
+/// A page at a revision, as daemons send it to each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PageCopy {
     /// The page.
     pub page: PageId,
-    /// The revision of the store at which it was written.
+    /// The revision of the store at which the page was written.
     pub revision: Revision,
-    /// Its content.
+    /// The content of the page.
     pub body: PageBody,
 }
 
 impl PageBody {
-    /// Reads the value of a configuration object, and refuses what may not be in force.
+    /// Parses the value of a configuration object and checks that it is valid for page `id`.
     pub fn parse(id: PageId, value: &[u8]) -> Result<PageBody, PageError> {
         match id {
             PageId::Table(_) => Ok(PageBody::Table(parse_items(id, value)?)),
@@ -43,17 +43,17 @@
         }
     }
 
-    /// Refuses what may not be in force as page `id`; for content that did not come from the store.
+    /// Checks that the content is valid for page `id`; for content that did not come from the store.
     pub fn check(&self, id: PageId) -> Result<(), PageError> {
         match (id, self) {
             (PageId::Table(_), PageBody::Table(rows)) => check_items(id, rows),
             (PageId::Workspaces(_), PageBody::Workspaces(items)) => check_items(id, items),
             (PageId::Pipelines, PageBody::Pipelines(pipelines)) => check_items(id, pipelines),
-            _ => Err(PageError::malformed(id, "its content is that of another sort of page")),
+            _ => Err(PageError::malformed(id, "its content belongs to another type of page")),
         }
     }
 
-    /// About how many bytes it takes in a message.
+    /// Estimates the encoded size of the content in a message, in bytes.
     pub fn size(&self) -> usize {
         let name = |name: &String| name.len() + NAME_BYTES;
         match self {
--- a/crates/core/src/version/page_error.rs
+++ b/crates/core/src/version/page_error.rs
@@ -1,26 +1,26 @@
-//! Why a page of the configuration is not taken.
+//! Reasons for which a page of the configuration is rejected.
 
 use crate::id::Revision;
 use crate::version::PageId;
 use std::fmt;
 
-/// Why a page is not taken.
+/// Why a page is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PageError {
-    /// A higher or the same revision is in force.
+    /// The same or a higher revision is in force already.
     NotNewer {
         /// The revision in force.
         in_force: Revision,
     },
-    /// It can't be read, or holds what is refused; what was in force stays.
+    /// The page can't be parsed or contains invalid items; the revision in force stays.
     Malformed {
-        /// Key and cause.
+        /// The page's key and the cause.
         detail: String,
     },
 }
 
 impl PageError {
-    /// A page that can't be taken, and why.
+    /// Returns a [`PageError::Malformed`] for a page and its cause.
     pub fn malformed(page: PageId, cause: impl fmt::Display) -> PageError {
         PageError::Malformed { detail: format!("{page}: {cause}") }
     }
--- a/crates/core/src/version/pipeline.rs
+++ b/crates/core/src/version/pipeline.rs
@@ -6,37 +6,37 @@
 use serde::{Deserialize, Serialize};
 use std::ops::RangeInclusive;
 
-/// Numbers of layers taken.
+/// Accepted numbers of layers.
 pub const LAYERS: RangeInclusive<Layer> = 1..=4096;
 
-/// Shares of the engines' work taken.
+/// Accepted values of `share`.
 pub const SHARES: RangeInclusive<u32> = 1..=1_000_000;
 
-/// What callers name as `model`.
+/// A pipeline, which callers select by its name in the field `model` of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pipeline {
-    /// Its name.
+    /// The name of the pipeline.
     pub id: ServiceId,
     /// The model that its engines run.
     pub model: ModelId,
-    /// How many layers the model has.
+    /// Number of layers of the model.
     pub layers: Layer,
-    /// Into how many ranges of layers it is cut for its engines; 0: its engines get no orders.
+    /// Number of layer ranges into which the model is split over the engines; with 0, the engines get no orders.
     #[serde(default)]
     pub stages: u16,
-    /// Its share of the engines' work; only the ratio to other pipelines counts.
+    /// Share of the engines' capacity; only the ratio to other pipelines matters.
     #[serde(default = "default_share")]
     pub share: u32,
 }
 
 impl Pipeline {
-    /// A pipeline whose engines get no orders.
+    /// Creates a pipeline whose engines get no orders.
     pub fn new(id: impl Into<ServiceId>, model: impl Into<ModelId>, layers: Layer) -> Pipeline {
         let (id, model) = (id.into(), model.into());
         Pipeline { id, model, layers, stages: 0, share: default_share() }
     }
 
-    /// Cuts the model into `stages` ranges of layers, which its engines are ordered to hold.
+    /// Splits the model into `stages` ranges of layers, which engines are ordered to load.
     pub fn with_stages(mut self, stages: u16) -> Pipeline {
         self.stages = stages;
         self
--- a/crates/core/src/version/row.rs
+++ b/crates/core/src/version/row.rs
@@ -1,4 +1,4 @@
-//! A row of the shared table: weight and limits of a workspace for one kind of request.
+//! A row of the shared table: weight, limits and defaults of a workspace for one kind of request.
 
 use crate::id::{Kind, WorkspaceId};
 use crate::version::check::{check_name, check_range};
@@ -6,26 +6,26 @@
 use serde::{Deserialize, Serialize};
 use std::ops::RangeInclusive;
 
-/// Kind of a request that names none; its row stands in for the rows of kinds that have none.
+/// The kind of a request that names none. Its row also applies to kinds without a row of their own.
 pub const DEFAULT_KIND: &str = "default";
-/// Weights taken.
+/// Accepted weights.
 pub const WEIGHTS: RangeInclusive<f64> = 0.001..=1_000_000.0;
-/// Limits of requests a second taken; 0 refuses all.
+/// Accepted limits of requests per second; 0 refuses all requests.
 pub const REQUESTS_PER_S: RangeInclusive<f64> = 0.0..=1_000_000.0;
-/// Limits of tokens a second taken; 0 refuses all.
+/// Accepted limits of tokens per second; 0 refuses all requests.
 pub const TOKENS_PER_S: RangeInclusive<f64> = 0.0..=1_000_000_000.0;
-/// Limits of requests in flight taken; 0 refuses all.
+/// Accepted limits of requests in flight; 0 refuses all requests.
 pub const IN_FLIGHT: RangeInclusive<u32> = 0..=1_000_000;
-/// Deadlines taken, in milliseconds.
+/// Accepted deadlines, in milliseconds.
 pub const DEADLINES_MS: RangeInclusive<u64> = 1..=3_600_000;
 
-/// The class of a request: urgent goes before routine.
+/// The class of a request: urgent requests go before routine ones.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
-    /// Goes first, and has a reserve that routine work can't take.
+    /// Goes first and has reserved capacity that routine requests can't use.
     Urgent,
     /// Everything else.
     #[default]
@@ -33,7 +33,7 @@
 }
 
 impl Class {
-    /// Priority beside the endpoints: higher goes first.
+    /// Returns the priority as endpoints use it: a higher one goes first.
     pub fn priority(self) -> u8 {
         match self {
             Class::Urgent => 1,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Its name in the table.
+    /// Returns the name of the class in the table.
     pub fn name(self) -> &'static str {
         match self {
             Class::Urgent => "urgent",
@@ -57,7 +57,7 @@
     pub workspace: WorkspaceId,
     /// The kind of request.
     pub kind: Kind,
-    /// Share inside the class, above 0.
+    /// Relative share among the rows of the same class, above 0.
     pub weight: f64,
     /// Requests per second over the whole fleet.
     pub requests_per_s: f64,
@@ -67,14 +67,14 @@
     pub in_flight: u32,
     /// Urgent or routine.
     pub class: Class,
-    /// Deadline where the caller names none, in milliseconds.
+    /// Deadline of requests that don't set one, in milliseconds.
     pub deadline_ms: u64,
-    /// Whether a request of this kind may be run again.
+    /// Whether a request of this kind may be run more than once.
     pub idempotent: bool,
 }
 
 impl Row {
-    /// A row with the defaults: weight 1, generous limits, routine, 60 s, not idempotent.
+    /// Creates a row with the defaults: weight 1, high limits, routine, a deadline of 60 s, not idempotent.
     pub fn new(workspace: impl Into<WorkspaceId>, kind: impl Into<Kind>) -> Row {
         Row {
             workspace: workspace.into(),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// How errors call it.
+    /// Returns the name of the row in error messages.
     pub(crate) fn subject(&self) -> String {
         format!("row {}/{}", self.workspace, self.kind)
     }
@@ -116,7 +116,7 @@
     }
 }
 
-/// Name of the row of a workspace and kind.
+/// Returns the name of the row for a workspace and kind.
 pub fn row_name(workspace: &str, kind: &str) -> String {
     format!("{workspace}/{kind}")
 }
--- a/crates/core/src/version/row_table.rs
+++ b/crates/core/src/version/row_table.rs
@@ -1,20 +1,20 @@
-//! The rows of one page, found by the hash of workspace and kind.
+//! The rows of one page, indexed by the hash of workspace and kind.
 
 use crate::version::Row;
 use std::sync::Arc;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// The rows of one page, in order of workspace and kind. A lookup goes through the hashes, which
-/// lie side by side in memory, and looks into the rows found only.
+/// The rows of one page, sorted by workspace and kind. A lookup searches the hashes, which are contiguous in memory,
+/// and reads only the rows whose hash matches.
 #[derive(Debug)]
 pub(crate) struct RowTable {
     rows: Vec<Arc<Row>>,
-    /// Hash and number of each row, in order.
+    /// Hash and index of each row, sorted.
     by_hash: Vec<(u64, u32)>,
 }
 
 impl RowTable {
-    /// Takes rows in order of workspace and kind.
+    /// Creates a table of rows that are sorted by workspace and kind.
     pub(crate) fn new(rows: Vec<Arc<Row>>) -> RowTable {
         let hash = |row: &Arc<Row>| hash_of(&row.workspace, &row.kind);
         let mut by_hash: Vec<_> =
--- a/crates/core/src/version/spreading/claim.rs
+++ b/crates/core/src/version/spreading/claim.rs
@@ -1,29 +1,30 @@
-//! Claims: what takes a daemon from one complete configuration to a later one.
+//! Claims: the pages that bring a daemon from one complete revision of the configuration to a later one.
 
 use crate::id::Revision;
 use crate::version::{PageAt, PageId, Source};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Claims that are open at once; the oldest is dropped for a further one.
+/// Maximum number of open claims; a further one replaces the oldest claim of a peer.
 const MAX_CLAIMS: usize = 8;
-/// How often the pages of a claim are asked of the peer that made it.
-const MAX_ASKS: u32 = 4;
+/// Maximum number of requests for the pages of a claim to the peer that made it, without an answer.
+const MAX_REQUESTS: u32 = 4;
 
-/// Who has all that was written up to `since`, and takes `needs`, has all up to `upto`.
+/// The pages that changed between two revisions: a daemon that has everything written up to `since` and applies `needs`
+/// has everything up to `upto`.
 #[derive(Clone, Debug)]
 pub(crate) struct Claim {
     pub(crate) source: Source,
     pub(crate) since: Revision,
     pub(crate) upto: Revision,
-    /// All pages that changed in between.
+    /// All pages that changed between `since` and `upto`.
     pub(crate) pages: Vec<PageAt>,
-    /// Those of them that are not in force yet, or a later revision of them.
+    /// Pages of the claim that aren't in force yet, neither at the claimed revision nor at a later one.
     pub(crate) needs: BTreeMap<PageId, Revision>,
-    pub(crate) asks: u32,
+    pub(crate) requests: u32,
 }
 
 impl Claim {
-    /// Takes a page off the needs that is in force, or was settled otherwise.
+    /// Removes a page from the needs if `revision` of it, in force or refused, is at least the needed one.
     pub(crate) fn settle(&mut self, page: PageId, revision: Revision) {
         if self.needs.get(&page).is_some_and(|needed| *needed <= revision) {
             self.needs.remove(&page);
@@ -31,14 +32,14 @@
     }
 }
 
-/// The claims of one daemon that are not fulfilled yet.
+/// The unfulfilled claims of one daemon.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Claims {
     open: VecDeque<Claim>,
 }
 
 impl Claims {
-    /// Takes a claim in; it replaces those of the same source that begin no earlier.
+    /// Adds a claim. It replaces claims of the same source that start at the same or a later revision.
     pub(crate) fn add(&mut self, claim: Claim) {
         self.open.retain(|other| other.source != claim.source || other.since < claim.since);
         if self.open.len() == MAX_CLAIMS {
@@ -48,7 +49,7 @@
         self.open.push_back(claim);
     }
 
-    /// Takes out a claim that is fulfilled, if it leads beyond `applied` without a gap.
+    /// Removes and returns a fulfilled claim that leads beyond `applied` without a gap. Drops claims up to `applied`.
     pub(crate) fn take_fulfilled(&mut self, applied: Revision) -> Option<Claim> {
         self.open.retain(|claim| claim.upto > applied);
         let fulfilled = |claim: &Claim| claim.needs.is_empty() && claim.since <= applied;
@@ -56,59 +57,62 @@
         self.open.remove(at)
     }
 
-    /// The claim of the store, if one is open.
+    /// Returns the open claim of the store, if there is one.
     pub(crate) fn of_store(&self) -> Option<&Claim> {
         self.open.iter().find(|claim| claim.source == Source::Store)
     }
 
-    /// Whether a claim of this source leads up to `revision` or beyond.
-    pub(crate) fn leads_to(&self, source: Source, revision: Revision) -> bool {
+    /// Whether an open claim of this source leads up to `revision` or beyond.
+    pub(crate) fn reaches(&self, source: Source, revision: Revision) -> bool {
         self.open.iter().any(|claim| claim.source == source && claim.upto >= revision)
     }
 
-    /// How many are open.
+    /// Returns the number of open claims.
     pub(crate) fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// A page came into force.
+    /// Removes a page that came into force from the needs of all claims.
     pub(crate) fn settle(&mut self, page: PageId, revision: Revision) {
         self.open.iter_mut().for_each(|claim| claim.settle(page, revision));
     }
 
-    /// A page that came from `source` can't come into force.
-    pub(crate) fn settle_of(&mut self, source: Source, page: PageId, revision: Revision) {
+    /// Removes a page that can't come into force from the needs of claims of this type of source: the store or peers.
+    pub(crate) fn settle_from(&mut self, source: Source, page: PageId, revision: Revision) {
         let is_store = source == Source::Store;
         let of_source = |claim: &&mut Claim| (claim.source == Source::Store) == is_store;
         self.open.iter_mut().filter(of_source).for_each(|claim| claim.settle(page, revision));
     }
 
-    /// What may be asked of whom now. A claim whose peer gave nothing though it was asked
-    /// [`MAX_ASKS`] times is dropped; the next comparison with a peer makes another.
-    pub(crate) fn asks(&mut self, may_ask: impl Fn(PageId) -> bool) -> Vec<(Source, Vec<PageAt>)> {
-        let mut asks = Vec::new();
+    /// Returns the pages to request now, for each claim of a peer. Drops a claim whose peer sent nothing after
+    /// [`MAX_REQUESTS`] requests; the next comparison with a peer creates a new one.
+    pub(crate) fn next_requests(
+        &mut self,
+        may_request: impl Fn(PageId) -> bool,
+    ) -> Vec<(Source, Vec<PageAt>)> {
+        let mut requests = Vec::new();
         self.open.retain_mut(|claim| {
             if claim.source == Source::Store {
                 return true;
             }
             let needs = claim.needs.iter().map(|(page, revision)| (*page, *revision));
-            let pages: Vec<_> = needs.filter(|(page, _)| may_ask(*page)).collect();
+            let pages: Vec<_> = needs.filter(|(page, _)| may_request(*page)).collect();
             if pages.is_empty() {
                 return true;
             }
-            if claim.asks == MAX_ASKS {
+            if claim.requests == MAX_REQUESTS {
                 return false;
             }
-            claim.asks += 1;
-            asks.push((claim.source, pages));
+            claim.requests += 1;
+            requests.push((claim.source, pages));
             true
         });
-        asks
+        requests
     }
 
-    /// A peer gave something: it may be asked as often again.
-    pub(crate) fn made_progress(&mut self, source: Source) {
+    /// Resets the count of requests of a peer's claims, after it sent pages.
+    pub(crate) fn reset_requests(&mut self, source: Source) {
         let of_source = self.open.iter_mut().filter(|claim| claim.source == source);
-        of_source.for_each(|claim| claim.asks = 0);
+        of_source.for_each(|claim| claim.requests = 0);
     }
 }
--- a/crates/core/src/version/spreading/config_message.rs
+++ b/crates/core/src/version/spreading/config_message.rs
@@ -1,48 +1,48 @@
-//! What daemons tell each other of the configuration.
+//! Messages between daemons about the configuration.
 
 use crate::id::Revision;
 use crate::version::{PageCopy, PageId};
 use serde::{Deserialize, Serialize};
 
-/// The most pages that one [`ConfigMessage::Fetch`] names.
+/// Maximum number of pages in one [`ConfigMessage::Fetch`].
 pub const MAX_FETCH: usize = 64;
-/// Bytes after which a [`ConfigMessage::Pages`] takes in no further page. It carries at least one,
-/// and a page takes less than [`MAX_PAGE_BYTES`](crate::version::MAX_PAGE_BYTES), so that bounds
-/// the message; a page is never cut in parts.
+/// Size in bytes beyond which no further page is added to a [`ConfigMessage::Pages`]. A message carries at least one
+/// page and pages are never split; as a page takes less than [`MAX_PAGE_BYTES`](crate::version::MAX_PAGE_BYTES), the
+/// size of a message is bounded.
 pub const PAGES_BYTES: usize = 256 << 10;
 
 /// A page and a revision of it.
 pub type PageAt = (PageId, Revision);
 
-/// What daemons tell each other of the configuration.
+/// A message between daemons about the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ConfigMessage {
-    /// The sender has in force all that was written up to `applied`. Who has more answers with a
-    /// digest; who has less, with its own summary; who has the same, only if that is asked for.
+    /// The sender has everything in force that was written up to `applied`. A receiver that has more answers with a
+    /// digest, one that has less with its own summary, and one that has the same only if `wants_reply` is set.
     Summary {
-        /// See there.
+        /// The revision up to which everything is in force at the sender.
         applied: Revision,
-        /// Whether an answer is wanted in any case.
-        ask: bool,
+        /// Whether the receiver must answer in any case.
+        wants_reply: bool,
     },
-    /// What the sender has in force above `since`. Who has all that was written up to `since` and
-    /// takes these pages has all up to `upto`.
+    /// The pages that the sender has in force above revision `since`. A receiver that has everything written up to
+    /// `since` and applies these pages has everything up to `upto`.
     Digest {
-        /// See there.
+        /// The revision that the receiver must have to reach `upto`.
         since: Revision,
-        /// See there.
+        /// The revision up to which everything is in force at the sender.
         upto: Revision,
         /// The pages whose revision in force is above `since`.
         pages: Vec<PageAt>,
-        /// Pages that were refused as bad: the last good one is in force. To be told to people.
+        /// Pages that were refused as invalid, so that the last valid revision is in force; for reports to operators.
         refused: Vec<PageAt>,
     },
-    /// Asks for pages, at these revisions or later ones.
+    /// Requests pages at these revisions or later ones.
     Fetch {
-        /// The pages, [`MAX_FETCH`] at most.
+        /// The pages, at most [`MAX_FETCH`].
         pages: Vec<PageAt>,
     },
-    /// Pages that were asked for, or the first of them; the rest is to be asked for again.
+    /// The requested pages, or the first of them; the receiver has to request the rest again.
     Pages {
         /// The pages.
         copies: Vec<PageCopy>,
--- a/crates/core/src/version/spreading/event.rs
+++ b/crates/core/src/version/spreading/event.rs
@@ -1,4 +1,4 @@
-//! What a [`Spread`](super::Spread) asks its surroundings to do, and tells them.
+//! Effects and events that a [`Spread`](super::Spread) returns to its caller.
 
 use crate::id::Revision;
 use crate::request::Peer;
@@ -7,13 +7,13 @@
 /// Where a page came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The store.
+    /// The configuration store.
     Store,
-    /// A peer.
+    /// Another daemon.
     Peer(Peer),
 }
 
-/// Something that people and counters are told.
+/// An event to be logged and counted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigEvent {
     /// A page came into force.
@@ -25,53 +25,53 @@
         /// Where it came from.
         source: Source,
     },
-    /// A page is bad: the last good one stays in force.
+    /// A page is invalid: the last valid revision stays in force.
     Refused {
         /// The page.
         page: PageId,
-        /// The revision refused.
+        /// The refused revision.
         revision: Revision,
         /// Where it came from.
         source: Source,
         /// What is wrong with it.
         detail: String,
     },
-    /// A page was deleted from the store: the last one stays in force.
+    /// A page was deleted from the store: the last revision stays in force.
     Deleted {
         /// The page.
         page: PageId,
     },
-    /// The store answered from an old copy; the answer was dropped.
+    /// The store answered from a stale copy; the answer was dropped.
     OldCopy {
-        /// The revision that it showed.
+        /// The revision of the answer.
         shown: Revision,
-        /// The revision that was known.
+        /// The revision that was known before.
         known: Revision,
     },
-    /// A peer named a page or revision that there can't be, or too many; the message was dropped.
+    /// A peer sent a message with invalid pages or revisions, or too many of them; the message was dropped.
     BadMessage {
         /// The peer.
         peer: Peer,
     },
-    /// This daemon begins to watch the store, or ceases to.
+    /// This daemon starts (`true`) or stops (`false`) watching the store.
     Watching(bool),
-    /// All is in force that the store and the peers had when this daemon started.
+    /// Everything that the store and the peers had when this daemon started is in force.
     Ready {
-        /// Up to this revision.
+        /// The revision up to which everything is in force.
         applied: Revision,
     },
 }
 
-/// What a [`Spread`](super::Spread) asks its surroundings to do.
+/// An action that the caller of a [`Spread`](super::Spread) has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send a message.
     Send {
-        /// To whom.
+        /// The receiver.
         to: Peer,
         /// The message.
         message: ConfigMessage,
     },
-    /// Count it, and tell people.
+    /// Count and log an event.
     Report(ConfigEvent),
 }
--- a/crates/core/src/version/spreading/gossip.rs
+++ b/crates/core/src/version/spreading/gossip.rs
@@ -1,4 +1,4 @@
-//! What a daemon answers its peers.
+//! Handling of messages from peers.
 
 use crate::clock::Clock;
 use crate::id::Revision;
@@ -8,16 +8,18 @@
 };
 
 impl<C: Clock> Spread<C> {
-    /// A message of a peer came.
+    /// Handles a message from a peer.
     pub fn on_message(&mut self, from: Peer, message: ConfigMessage) {
         if !is_sound(&message) {
-            return self.tell(ConfigEvent::BadMessage { peer: from });
+            return self.report(ConfigEvent::BadMessage { peer: from });
         }
         match message {
-            ConfigMessage::Summary { applied, ask } => self.on_summary(from, applied, ask),
+            ConfigMessage::Summary { applied, wants_reply } => {
+                self.on_summary(from, applied, wants_reply)
+            }
             ConfigMessage::Digest { since, upto, pages, refused } => {
                 for (page, revision) in refused {
-                    self.on_refused_elsewhere(page, revision);
+                    self.on_refused_by_peer(page, revision);
                 }
                 self.on_digest(from, since, upto, pages);
             }
@@ -26,15 +28,15 @@
         }
     }
 
-    fn on_summary(&mut self, from: Peer, applied: Revision, ask: bool) {
-        self.readiness.heard(from.incarnation, applied);
+    fn on_summary(&mut self, from: Peer, applied: Revision, wants_reply: bool) {
+        self.readiness.record_peer(from.incarnation, applied);
         if applied < self.applied {
             return self.send_digest(from, applied);
         }
-        if ask || applied > self.applied {
-            // Asked in return, a peer that has more sends its digest.
-            let ask = applied > self.applied;
-            self.send(from, ConfigMessage::Summary { applied: self.applied, ask });
+        if wants_reply || applied > self.applied {
+            // A peer that has more answers this with a digest.
+            let wants_reply = applied > self.applied;
+            self.send(from, ConfigMessage::Summary { applied: self.applied, wants_reply });
         }
         self.advance();
     }
@@ -46,40 +48,40 @@
     }
 
     fn on_digest(&mut self, from: Peer, since: Revision, upto: Revision, pages: Vec<PageAt>) {
-        self.readiness.heard(from.incarnation, upto);
+        self.readiness.record_peer(from.incarnation, upto);
         let source = Source::Peer(from);
         if upto <= self.applied {
             return self.advance();
         }
-        if since > self.applied && !self.claims.leads_to(source, since) {
-            let message = ConfigMessage::Summary { applied: self.applied, ask: true };
+        if since > self.applied && !self.claims.reaches(source, since) {
+            let message = ConfigMessage::Summary { applied: self.applied, wants_reply: true };
             return self.send(from, message);
         }
         self.claim(source, since, upto, pages);
-        self.ask();
+        self.request_pages();
     }
 
-    fn on_refused_elsewhere(&mut self, page: PageId, revision: Revision) {
+    fn on_refused_by_peer(&mut self, page: PageId, revision: Revision) {
         if revision > self.view.revision(page) {
-            self.troubles.heard(page, revision);
+            self.troubles.refused_by_peer(page, revision);
         }
     }
 
-    /// Asks peers for the pages of their claims that may be asked for now.
-    pub(super) fn ask(&mut self) {
+    /// Requests pages of open claims from the peers that made them, except pages whose request is still pending.
+    pub(super) fn request_pages(&mut self) {
         let now = self.clock.now();
         let fetches = &self.fetches;
-        let asks = self.claims.asks(|page| fetches.may_ask(page, now));
-        for (source, mut pages) in asks {
+        let requests = self.claims.next_requests(|page| fetches.may_request(page, now));
+        for (source, mut pages) in requests {
             let Source::Peer(peer) = source else { continue };
-            pages.retain(|(page, _)| self.fetches.may_ask(*page, now));
+            pages.retain(|(page, _)| self.fetches.may_request(*page, now));
             pages.truncate(MAX_FETCH);
             if pages.is_empty() {
                 continue;
             }
             let until = now + self.settings.fetch_timeout;
             for (page, _) in &pages {
-                self.fetches.asked(*page, peer.incarnation, until);
+                self.fetches.mark_requested(*page, peer.incarnation, until);
             }
             self.send(peer, ConfigMessage::Fetch { pages });
         }
@@ -110,13 +112,13 @@
             self.take_copy(from, copy);
         }
         self.fetches.answered_by(from.incarnation);
-        self.claims.made_progress(Source::Peer(from));
+        self.claims.reset_requests(Source::Peer(from));
         self.advance();
-        self.ask();
+        self.request_pages();
     }
 }
 
-/// Whether a message names only pages that there are, and not too many.
+/// Whether a message is well-formed: it names existing pages only, and not too many.
 fn is_sound(message: &ConfigMessage) -> bool {
     let exist =
         |pages: &[PageAt]| pages.iter().all(|(page, revision)| page.exists() && *revision > 0);
--- a/crates/core/src/version/spreading/mod.rs
+++ b/crates/core/src/version/spreading/mod.rs
@@ -1,7 +1,7 @@
-//! How configuration reaches every daemon: a few watch the store, the rest learn from peers.
+//! Distribution of the configuration: a few daemons watch the store, the others get it from their peers.
 //!
-//! [`Spread`] is the state machine of one daemon. It is driven by a clock, by messages from peers
-//! and by the answers of the store, and it never blocks.
+//! [`Spread`] is the state machine of one daemon. Its inputs are a clock, messages from peers and answers of the store;
+//! it never blocks.
 
 mod claim;
 mod config_message;
--- a/crates/core/src/version/spreading/peers.rs
+++ b/crates/core/src/version/spreading/peers.rs
@@ -1,18 +1,18 @@
-//! The peers of a daemon, as far as the spread of configuration needs to know them.
+//! The peers of a daemon, as the distribution of configuration needs them.
 
 use crate::id::Place;
 use crate::process::membership::MembershipView;
 use crate::request::Peer;
 
-/// The live peers of a daemon; itself is not among them.
+/// The live peers of a daemon, without the daemon itself.
 pub trait ConfigPeers {
-    /// Those of its own place.
+    /// Returns the peers in its own data centre.
     fn of_place(&self) -> Vec<Peer>;
 
-    /// Those of other places, or some of them.
+    /// Returns peers in other data centres, all or some of them.
     fn of_other_places(&self) -> Vec<Peer>;
 
-    /// The name of its own place.
+    /// Returns the name of its own data centre.
     fn place(&self) -> &Place;
 }
 
--- a/crates/core/src/version/spreading/readiness.rs
+++ b/crates/core/src/version/spreading/readiness.rs
@@ -1,36 +1,42 @@
-//! When a daemon that started knows enough to serve.
+//! Decides when a daemon has enough configuration to serve after its start.
 
 use crate::id::{Incarnation, Revision};
 use crate::version::SpreadSettings;
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// Peers whose word a start waits for, if there are so many.
-const WORDS: usize = 2;
+/// Number of peers whose applied revision a starting daemon waits for, or all peers if there are fewer.
+const MIN_PEERS_SEEN: usize = 2;
 
-/// Decides when a daemon is ready: it has all that the store or a peer had, and is not behind any
-/// peer that it heard. So a daemon that starts on an old copy of the store does not serve what the
-/// others have left behind.
+/// Decides when a daemon is ready: a complete configuration from the store or a peer is in force, and it isn't behind
+/// any peer that reported its revision. A daemon that starts from a stale copy of the store thus doesn't serve
+/// configuration that the other daemons have already replaced.
 #[derive(Clone, Debug)]
 pub(crate) struct Readiness {
     since: Instant,
-    heard: BTreeSet<Incarnation>,
+    peers_seen: BTreeSet<Incarnation>,
     target: Revision,
-    /// Whether anything complete came into force.
+    /// Whether a complete configuration came into force.
     loaded: bool,
     ready: bool,
 }
 
 impl Readiness {
     pub(crate) fn new(now: Instant) -> Readiness {
-        Readiness { since: now, heard: BTreeSet::new(), target: 0, loaded: false, ready: false }
+        Readiness {
+            since: now,
+            peers_seen: BTreeSet::new(),
+            target: 0,
+            loaded: false,
+            ready: false,
+        }
     }
 
     pub(crate) fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// Whether anything complete came into force, though it may be behind.
+    /// Whether a complete configuration came into force; it may be older than that of the peers.
     pub(crate) fn is_loaded(&self) -> bool {
         self.loaded
     }
@@ -39,20 +45,20 @@
         self.since
     }
 
-    pub(crate) fn loaded(&mut self) {
+    pub(crate) fn mark_loaded(&mut self) {
         self.loaded = true;
     }
 
-    /// A peer told how far it is.
-    pub(crate) fn heard(&mut self, peer: Incarnation, applied: Revision) {
+    /// Records the revision up to which a peer has everything in force.
+    pub(crate) fn record_peer(&mut self, peer: Incarnation, applied: Revision) {
         if self.ready {
             return;
         }
         self.target = self.target.max(applied);
-        self.heard.insert(peer);
+        self.peers_seen.insert(peer);
     }
 
-    /// Whether the daemon becomes ready just now.
+    /// Updates the state; returns `true` once, when the daemon becomes ready.
     pub(crate) fn becomes_ready(
         &mut self,
         settings: &SpreadSettings,
@@ -65,7 +71,7 @@
         }
         let waited = now.duration_since(self.since);
         let wait = if peers == 0 { settings.join_grace } else { settings.peer_wait };
-        let enough = peers > 0 && self.heard.len() >= peers.min(WORDS);
+        let enough = peers > 0 && self.peers_seen.len() >= peers.min(MIN_PEERS_SEEN);
         self.ready = enough || waited >= wait;
         self.ready
     }
--- a/crates/core/src/version/spreading/settings.rs
+++ b/crates/core/src/version/spreading/settings.rs
@@ -1,53 +1,53 @@
-//! Settings of the spread of configuration.
+//! Settings of the distribution of configuration.
 
 use crate::process::store_watch::WatchTimes;
 use std::time::Duration;
 
-/// An accepted change is in force everywhere within this time.
+/// Time within which an accepted change must be in force at all daemons.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(4);
-/// How long the store holds the watch of a place's second watcher.
+/// Time for which the store holds the watch of a data centre's second watcher.
 const LONGEST_WATCH: Duration = Duration::from_secs(10);
 
-/// Settings of the spread of configuration.
+/// Settings of the distribution of configuration.
 #[derive(Clone, Debug)]
 pub struct SpreadSettings {
-    /// How many daemons of a place watch the store.
+    /// Number of daemons in a data centre that watch the store.
     pub watchers: usize,
-    /// To how many peers news are sent on.
+    /// Number of peers to which updates are pushed.
     pub fanout: usize,
-    /// How often a daemon compares itself with a peer.
+    /// Interval at which a daemon compares its revision with that of a peer.
     pub round: Duration,
-    /// How often it does until it is ready.
+    /// The same interval until the daemon is ready.
     pub start_round: Duration,
-    /// How long an answer to a fetch may take.
+    /// Time limit for the answer to a fetch.
     pub fetch_timeout: Duration,
-    /// How long a daemon waits for peers to turn up at its start.
+    /// Time for which a starting daemon waits for peers to be discovered.
     pub join_grace: Duration,
-    /// How long a daemon waits for the answer of peers that turned up.
+    /// Time for which a starting daemon waits for answers of discovered peers.
     pub peer_wait: Duration,
-    /// How a watcher notices that the store, or a connection to it, is silent.
+    /// Times by which a watcher detects that the store, or a connection to it, doesn't answer.
     pub watch: WatchTimes,
-    /// The least time between two watches, so that a burst of changes takes few.
+    /// Minimum time between two watches, so that a burst of changes takes few calls.
     pub watch_gap: Duration,
-    /// The wait after a failed call to the store; it doubles with each, up to `max_retry`.
+    /// Wait after the first failed call to the store; it doubles with each further failure, up to `max_retry`.
     pub retry: Duration,
-    /// Longest wait after a failed call.
+    /// Maximum wait after a failed call.
     pub max_retry: Duration,
-    /// Pages read from the store at once, after a rest.
+    /// Maximum number of pages read from the store in a burst, after a pause.
     pub read_burst: u32,
-    /// Pages read from the store a second, beyond that.
+    /// Pages read from the store per second after the burst.
     pub reads_per_s: u32,
-    /// Whether there is a store that this daemon may ask.
+    /// Whether this daemon may call the store.
     pub has_store: bool,
 }
 
 impl SpreadSettings {
-    /// Default of `watchers`: one may die unnoticed.
+    /// Default of `watchers`: with 2, one still watches while the failure of the other isn't detected yet.
     pub const WATCHERS: usize = 2;
     /// Default of `fanout`.
     pub const FANOUT: usize = 4;
 
-    /// The defaults.
+    /// Returns the default settings.
     pub fn new() -> SpreadSettings {
         SpreadSettings {
             watchers: SpreadSettings::WATCHERS,
@@ -67,13 +67,13 @@
         }
     }
 
-    /// Takes the configuration from peers alone.
+    /// Takes the configuration from peers only.
     pub fn without_store(mut self) -> SpreadSettings {
         self.has_store = false;
         self
     }
 
-    /// Lets this many daemons of a place watch the store.
+    /// Sets the number of daemons in a data centre that watch the store.
     pub fn with_watchers(mut self, watchers: usize) -> SpreadSettings {
         self.watchers = watchers;
         self
--- a/crates/core/src/version/spreading/spread.rs
+++ b/crates/core/src/version/spreading/spread.rs
@@ -1,4 +1,4 @@
-//! The configuration of one daemon: what is in force, and how it becomes so.
+//! The configuration of one daemon: the version in force, and its updates from the store and from peers.
 
 use crate::clock::Clock;
 use crate::id::Revision;
@@ -15,20 +15,21 @@
 use rand::{RngExt, SeedableRng};
 use std::time::{Duration, Instant};
 
-/// Pages that a push names at most; who starts learns of more by its own asking.
+/// Maximum number of pages in a pushed update. A claim with more pages isn't pushed; a starting daemon gets such an
+/// update by its own queries.
 const MAX_PUSH: usize = 64;
-/// What the watchers of a place are named by.
+/// Rendezvous key by which the watchers of a data centre are chosen.
 const WATCH_KEY: &[u8] = b"config-watch";
 
-/// The configuration of one daemon.
+/// The configuration of one daemon, as a state machine without I/O.
 pub struct Spread<C> {
     pub(super) settings: SpreadSettings,
     pub(super) clock: C,
     pub(super) me: Peer,
     pub(super) view: ConfigView,
-    /// All that was written up to here is in force.
+    /// The revision of the store up to which everything is in force.
     pub(super) applied: Revision,
-    /// `applied` as it was when a page last came with it.
+    /// The value of `applied` after the last claim that contained pages.
     announced: Revision,
     pub(super) claims: Claims,
     pub(super) fetches: Fetches,
@@ -38,14 +39,14 @@
     rng: SmallRng,
     place_peers: Vec<Peer>,
     remote_peers: Vec<Peer>,
-    /// Its rank among the watchers of its data centre, while it is one.
-    watches_as: Option<Rank>,
+    /// Rank among the watchers of its data centre; `None` if this daemon isn't a watcher.
+    watch_rank: Option<Rank>,
     next_round: Instant,
     pub(super) effects: Vec<Effect>,
 }
 
 impl<C: Clock> Spread<C> {
-    /// A daemon that starts without any configuration.
+    /// Creates the state of a starting daemon, without any configuration.
     pub fn new(settings: SpreadSettings, clock: C, me: Peer, seed: u64) -> Spread<C> {
         let now = clock.now();
         Spread {
@@ -63,72 +64,72 @@
             rng: SmallRng::seed_from_u64(seed),
             place_peers: Vec::new(),
             remote_peers: Vec::new(),
-            watches_as: None,
+            watch_rank: None,
             next_round: now,
             effects: Vec::new(),
         }
     }
 
-    /// What is in force.
+    /// Returns the configuration in force.
     pub fn view(&self) -> &ConfigView {
         &self.view
     }
 
-    /// The revision of the store up to which all is in force. It never falls.
+    /// Returns the revision of the store up to which everything is in force. It never decreases.
     pub fn applied(&self) -> Revision {
         self.applied
     }
 
-    /// What the other members are told of [`applied`](Self::applied): it changes only when pages
-    /// do, so that the revisions of other objects don't make every member speak.
+    /// Returns the value of [`applied`](Self::applied) that is announced to the other members. It changes only with
+    /// pages, so that changes of other objects in the store don't cause announcements from every member.
     pub fn announced(&self) -> Revision {
         self.announced
     }
 
-    /// Whether all is in force that the store and the peers had when this daemon started.
+    /// Whether everything that the store and the peers had when this daemon started is in force.
     pub fn is_ready(&self) -> bool {
         self.readiness.is_ready()
     }
 
-    /// Whether this daemon watches the store for its place.
+    /// Whether this daemon watches the store for its data centre.
     pub fn is_watching(&self) -> bool {
-        self.watches_as.is_some()
+        self.watch_rank.is_some()
     }
 
-    /// Pages that are not in force as the store holds them.
+    /// Returns the pages whose content in the store isn't in force.
     pub fn troubles(&self) -> Troubles {
-        self.troubles.told()
+        self.troubles.snapshot()
     }
 
-    /// How many claims are open: what it knows of and does not have yet.
+    /// Returns the number of open claims: updates that are known but not completely applied.
     pub fn open_claims(&self) -> usize {
         self.claims.len()
     }
 
-    /// What is to be done since the last call of this.
+    /// Takes the effects that accumulated since the last call.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Takes in who is live; to be called whenever that changes.
+    /// Updates the live peers; must be called whenever they change.
     pub fn update_peers(&mut self, peers: &impl ConfigPeers) {
         self.place_peers = peers.of_place();
         self.remote_peers = peers.of_other_places();
         self.choose_watchers();
     }
 
-    /// To be called every few hundredths of a second.
+    /// Does the periodic work; must be called every few hundredths of a second.
     pub fn tick(&mut self) {
         let now = self.clock.now();
         self.check_ready();
         if now >= self.next_round {
             self.round(now);
         }
-        self.ask();
+        self.request_pages();
     }
 
-    /// The next call that the store is to be asked, or when to ask for it again. One call at a time
-    /// is under way.
+    /// Returns the next call to the store, or the time at which to call this again. Only one call may be in progress at
+    /// a time.
     pub fn next_store_call(&mut self) -> Result<StoreCall, Instant> {
         let now = self.clock.now();
         if !self.reads_store(now) {
@@ -138,22 +139,22 @@
             Some(claim) => claim.needs.keys().copied().collect(),
             None => Vec::new(),
         };
-        let rank = self.watches_as.unwrap_or_default();
+        let rank = self.watch_rank.unwrap_or_default();
         self.reader.next(&self.settings, now, rank, self.applied, &needs)
     }
 
-    /// The most time for the answer to the next call of the store, beyond a watch's wait: a store that takes longer, or
-    /// a connection that is silent, is asked again.
+    /// Returns the time limit for the answer to the next call to the store, in addition to the wait of a watch. If the
+    /// store takes longer, or the connection is silent, the call has failed and is retried.
     pub fn store_call_limit(&self) -> Duration {
-        self.reader.patience()
+        self.reader.answer_timeout()
     }
 
-    /// A list was answered.
+    /// Handles the answer to a list.
     pub fn on_list(&mut self, listing: PageListing) {
         if self.is_old_copy(listing.revision) {
             return;
         }
-        self.reader.listed();
+        self.reader.on_list_answered();
         self.reader.answered();
         let shown = |page| listing.pages.iter().any(|(other, _)| *other == page);
         let gone: Vec<_> =
@@ -162,7 +163,7 @@
         self.on_listing(0, listing);
     }
 
-    /// A watch was answered.
+    /// Handles the answer to a watch.
     pub fn on_watch(&mut self, after: Revision, listing: PageListing) {
         if !self.is_old_copy(listing.revision) {
             self.reader.answered();
@@ -170,15 +171,15 @@
         }
     }
 
-    /// A page was read: its version and value, or nothing if there is none.
+    /// Handles the answer to the read of a page: its version and value, or `None` if the page doesn't exist.
     pub fn on_object(&mut self, page: PageId, object: Option<(Revision, Vec<u8>)>) {
         let needed = self.claims.of_store().and_then(|claim| claim.needs.get(&page).copied());
         let needed = needed.unwrap_or_default();
         let shown = object.as_ref().map_or(0, |(revision, _)| *revision);
         if shown < needed {
-            // It was deleted since, which a list tells, or this is an old copy.
-            self.tell(ConfigEvent::OldCopy { shown, known: needed });
-            self.reader.must_list();
+            // The page was deleted since, which the next list shows, or the store answered from a stale copy.
+            self.report(ConfigEvent::OldCopy { shown, known: needed });
+            self.reader.require_list();
             return self.on_store_failure(None);
         }
         self.reader.answered();
@@ -189,15 +190,15 @@
         self.advance();
     }
 
-    /// A call failed, and may be asked again after a while.
+    /// Handles a failed call. The next one is delayed by a backoff, or by `retry_after` if that is longer.
     pub fn on_store_failure(&mut self, retry_after: Option<Duration>) {
-        let spread = self.rng.random_range(0.0..1.0);
-        self.reader.failed(&self.settings, self.clock.now(), retry_after, spread);
+        let jitter = self.rng.random_range(0.0..1.0);
+        self.reader.failed(&self.settings, self.clock.now(), retry_after, jitter);
     }
 
-    /// The store refused a watch, as it no longer knows what changed since.
+    /// Handles a watch that the store refused because it no longer has the changes since that revision.
     pub fn on_watch_refused(&mut self) {
-        self.reader.must_list();
+        self.reader.require_list();
         self.on_store_failure(None);
     }
 
@@ -205,7 +206,7 @@
         if !self.settings.has_store {
             return false;
         }
-        // Peers that turned up may still be without configuration themselves.
+        // Discovered peers may have no configuration either, so after this wait the daemon reads the store itself.
         let waited = now.duration_since(self.readiness.since());
         self.is_watching() || (!self.readiness.is_loaded() && waited >= self.settings.peer_wait)
     }
@@ -214,7 +215,7 @@
         if shown >= self.applied {
             return false;
         }
-        self.tell(ConfigEvent::OldCopy { shown, known: self.applied });
+        self.report(ConfigEvent::OldCopy { shown, known: self.applied });
         self.on_store_failure(None);
         true
     }
@@ -227,14 +228,14 @@
         let pages = listing.pages.into_iter().filter(|(_, version)| *version > 0).collect();
         self.claim(source, since, upto, pages);
         if upto == 0 {
-            self.readiness.loaded();
+            self.readiness.mark_loaded();
         }
         if self.claims.of_store().is_none() {
             self.reader.succeeded();
         }
     }
 
-    /// Takes in that `pages` lead from `since` to `upto`.
+    /// Adds a claim that `pages` lead from revision `since` to `upto`.
     pub(super) fn claim(
         &mut self,
         source: Source,
@@ -247,20 +248,20 @@
                 && !self.troubles.is_refused(source, *page, *revision)
         };
         let needs = pages.iter().filter(missing).copied().collect();
-        self.claims.add(Claim { source, since, upto, pages, needs, asks: 0 });
+        self.claims.add(Claim { source, since, upto, pages, needs, requests: 0 });
         self.advance();
     }
 
-    /// A page was found deleted when the store was at revision `shown`.
+    /// Handles a page that was deleted in the store at revision `shown`.
     fn on_deleted(&mut self, page: PageId, shown: Revision) {
-        self.claims.settle_of(Source::Store, page, shown);
+        self.claims.settle_from(Source::Store, page, shown);
         let in_force = self.view.revision(page);
         if in_force > 0 && in_force <= shown && self.troubles.delete(page) {
-            self.tell(ConfigEvent::Deleted { page });
+            self.report(ConfigEvent::Deleted { page });
         }
     }
 
-    /// Takes a page that a peer gave.
+    /// Applies a page that a peer sent.
     pub(super) fn take_copy(&mut self, from: Peer, copy: PageCopy) {
         let (page, revision) = (copy.page, copy.revision);
         let result = self.view.apply_copy(copy);
@@ -276,26 +277,26 @@
     ) {
         match result {
             Ok(()) => {
-                self.troubles.mended(page, revision);
-                self.tell(ConfigEvent::Applied { page, revision, source });
+                self.troubles.clear(page, revision);
+                self.report(ConfigEvent::Applied { page, revision, source });
                 self.claims.settle(page, revision);
             }
             Err(PageError::NotNewer { in_force }) => self.claims.settle(page, in_force),
             Err(PageError::Malformed { detail }) => {
                 if !self.troubles.is_refused(source, page, revision) {
                     self.troubles.refuse(source, page, revision);
-                    self.tell(ConfigEvent::Refused { page, revision, source, detail });
+                    self.report(ConfigEvent::Refused { page, revision, source, detail });
                 }
-                self.claims.settle_of(source, page, revision);
+                self.claims.settle_from(source, page, revision);
             }
         }
     }
 
-    /// Goes as far as the claims lead.
+    /// Advances `applied` over all fulfilled claims without a gap.
     pub(super) fn advance(&mut self) {
         while let Some(claim) = self.claims.take_fulfilled(self.applied) {
             self.applied = claim.upto;
-            self.readiness.loaded();
+            self.readiness.mark_loaded();
             if !claim.pages.is_empty() {
                 self.announced = claim.upto;
             }
@@ -304,7 +305,7 @@
         self.check_ready();
     }
 
-    /// Sends news on to a few peers.
+    /// Pushes the pages of a fulfilled claim to a few peers.
     fn push(&mut self, claim: &Claim) {
         let refused = self.troubles.refused();
         let in_force = |(page, _): &(PageId, Revision)| (*page, self.view.revision(*page));
@@ -320,8 +321,8 @@
         }
     }
 
-    /// The next member of the place in order of incarnation, and random others. As each sends to its
-    /// next, nobody is left out by chance who is known to be alive.
+    /// Returns the next member of the data centre in order of incarnation, and random others. As each member sends to
+    /// its successor, no member that is known to be live is left out by chance.
     fn push_targets(&mut self, source: Source) -> Vec<Peer> {
         let after = |peer: &&Peer| peer.incarnation > self.me.incarnation;
         let by_incarnation = |peer: &&Peer| peer.incarnation;
@@ -334,7 +335,8 @@
         next.into_iter().chain(others.sample(&mut self.rng, count).copied()).collect()
     }
 
-    /// Compares itself with a random peer; with more of them until it is ready.
+    /// Compares revisions with a random peer of the data centre; a watcher also does with one of another data centre.
+    /// Until the daemon is ready, it does with more peers.
     fn round(&mut self, now: Instant) {
         let starting = !self.is_ready();
         let every = if starting { self.settings.start_round } else { self.settings.round };
@@ -346,7 +348,7 @@
             chosen.extend(self.remote_peers.choose(&mut self.rng).copied());
         }
         for to in chosen {
-            self.send(to, ConfigMessage::Summary { applied: self.applied, ask: starting });
+            self.send(to, ConfigMessage::Summary { applied: self.applied, wants_reply: starting });
         }
     }
 
@@ -355,18 +357,18 @@
         let candidates = place.chain([self.me.incarnation]);
         let chosen = rendezvous_several(WATCH_KEY, candidates, self.settings.watchers);
         let rank = chosen.iter().position(|watcher| *watcher == self.me.incarnation);
-        let watches_as = rank.filter(|_| self.settings.has_store).map(|rank| rank as Rank);
-        if watches_as.is_some() != self.is_watching() {
-            self.tell(ConfigEvent::Watching(watches_as.is_some()));
+        let watch_rank = rank.filter(|_| self.settings.has_store).map(|rank| rank as Rank);
+        if watch_rank.is_some() != self.is_watching() {
+            self.report(ConfigEvent::Watching(watch_rank.is_some()));
         }
-        self.watches_as = watches_as;
+        self.watch_rank = watch_rank;
     }
 
     fn check_ready(&mut self) {
         let now = self.clock.now();
         let peers = self.place_peers.len() + self.remote_peers.len();
         if self.readiness.becomes_ready(&self.settings, now, peers, self.applied) {
-            self.tell(ConfigEvent::Ready { applied: self.applied });
+            self.report(ConfigEvent::Ready { applied: self.applied });
         }
     }
 
@@ -374,7 +376,7 @@
         self.effects.push(Effect::Send { to, message });
     }
 
-    pub(super) fn tell(&mut self, event: ConfigEvent) {
+    pub(super) fn report(&mut self, event: ConfigEvent) {
         self.effects.push(Effect::Report(event));
     }
 }
--- a/crates/core/src/version/spreading/store_reader.rs
+++ b/crates/core/src/version/spreading/store_reader.rs
@@ -1,51 +1,51 @@
-//! When a daemon asks the store, and what.
+//! Schedules the calls of a daemon to the store.
 
 use crate::id::Revision;
 use crate::process::store_watch::{Rank, WatchSchedule};
 use crate::version::{PageId, SpreadSettings};
 use std::time::{Duration, Instant};
 
-/// A call to the store, to be answered to the [`Spread`](super::Spread) that asked for it.
+/// A call to the store; its result has to be passed to the [`Spread`](super::Spread) that requested it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreCall {
     /// List all pages.
     List,
     /// Wait for pages that change.
     Watch {
-        /// Changes after this revision count.
+        /// The revision after which changes are returned.
         after: Revision,
-        /// How long to wait.
+        /// Maximum time to wait for a change.
         wait: Duration,
     },
     /// Read a page.
     Get(PageId),
 }
 
-/// The pages that a list or a watch showed; a version of 0 stands for a deleted one.
+/// The pages in the answer to a list or a watch; a version of 0 marks a deleted page.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PageListing {
-    /// The revision of the store that this shows.
+    /// The revision of the store at which the answer was made.
     pub revision: Revision,
     /// The pages, with their versions.
     pub pages: Vec<(PageId, Revision)>,
 }
 
-/// Paces the calls to the store: after failures, between watches, and between reads.
+/// Schedules calls to the store: limits the rate of reads and of watches, and backs off after failures.
 #[derive(Clone, Debug)]
 pub(crate) struct StoreReader {
-    /// No call before this.
+    /// Earliest time of the next call.
     due: Instant,
-    /// No watch before this.
+    /// Earliest time of the next watch.
     watch_due: Instant,
-    /// How long the next watch waits, and how long any answer may take.
+    /// Wait of the next watch, and time limit of each answer.
     schedule: WatchSchedule,
     failures: u32,
-    /// Reads that may go out at once.
+    /// Tokens of the rate limit on reads; a read takes one.
     tokens: f64,
-    filled: Instant,
-    /// Whether a whole list is needed: at the start, and when a watch was refused.
+    refilled: Instant,
+    /// Whether the next call lists all pages: at the start, after a refused watch, or if a page was older than listed.
     list_next: bool,
-    /// The last page read, so that one that can't be had doesn't hold up the others.
+    /// The last page read. Reads go on after it, so that a page that can't be read doesn't block the others.
     cursor: Option<PageId>,
 }
 
@@ -57,14 +57,14 @@
             schedule: WatchSchedule::new(settings.watch),
             failures: 0,
             tokens: settings.read_burst.into(),
-            filled: now,
+            refilled: now,
             list_next: true,
             cursor: None,
         }
     }
 
-    /// The next call, or when to ask again. `needs` are the pages that the store showed and that
-    /// are not in force yet; `rank` is this daemon's among the watchers of its place.
+    /// Returns the next call, or the time at which to call this again. `needs` are the pages that the store listed and
+    /// that aren't in force yet; `rank` is that of this daemon among the watchers of its data centre.
     pub(crate) fn next(
         &mut self,
         settings: &SpreadSettings,
@@ -91,41 +91,42 @@
         Ok(StoreCall::Watch { after: applied, wait: self.schedule.wait(rank) })
     }
 
-    /// The most time for the answer to the next call, beyond a watch's wait.
-    pub(crate) fn patience(&self) -> Duration {
+    /// Returns the time limit for the answer to the next call, in addition to the wait of a watch.
+    pub(crate) fn answer_timeout(&self) -> Duration {
         self.schedule.patience()
     }
 
-    /// A call was answered.
+    /// Records that a call was answered.
     pub(crate) fn answered(&mut self) {
         self.schedule.on_answer();
     }
 
-    /// A list was answered.
-    pub(crate) fn listed(&mut self) {
+    /// Records that a list was answered.
+    pub(crate) fn on_list_answered(&mut self) {
         self.list_next = false;
     }
 
-    /// What was shown is no longer so, or a watch was refused: a whole list is needed.
-    pub(crate) fn must_list(&mut self) {
+    /// Makes the next call a list, after a watch was refused or a page turned out to be older than listed or deleted.
+    pub(crate) fn require_list(&mut self) {
         self.list_next = true;
     }
 
-    /// What was shown could be read: failures are over.
+    /// Resets the count of failures, after a page or all listed pages could be read.
     pub(crate) fn succeeded(&mut self) {
         self.failures = 0;
     }
 
-    /// A call failed, or was answered from an old copy; `spread` below 1 spreads the retries.
+    /// Delays the next call after one failed or was answered from a stale copy; `jitter`, from 0 to below 1, spreads the
+    /// retries.
     pub(crate) fn failed(
         &mut self,
         settings: &SpreadSettings,
         now: Instant,
         retry_after: Option<Duration>,
-        spread: f64,
+        jitter: f64,
     ) {
         let wait = settings.retry.saturating_mul(1 << self.failures.min(8)).min(settings.max_retry);
-        let wait = wait.mul_f64(0.5 + spread / 2.0);
+        let wait = wait.mul_f64(0.5 + jitter / 2.0);
         self.schedule.on_failure();
         self.failures += 1;
         self.due = now + wait.max(retry_after.unwrap_or_default().min(settings.max_retry));
@@ -138,9 +139,9 @@
 
     fn take_token(&mut self, settings: &SpreadSettings, now: Instant) -> Result<(), Instant> {
         let per_s = f64::from(settings.reads_per_s);
-        let gained = now.duration_since(self.filled).as_secs_f64() * per_s;
+        let gained = now.duration_since(self.refilled).as_secs_f64() * per_s;
         self.tokens = (self.tokens + gained).min(settings.read_burst.into());
-        self.filled = now;
+        self.refilled = now;
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return Ok(());
--- a/crates/core/src/version/workspace.rs
+++ b/crates/core/src/version/workspace.rs
@@ -1,4 +1,4 @@
-//! A workspace: who may call, and what.
+//! A workspace: its API key and the services that it may call.
 
 use crate::id::{ServiceId, WorkspaceId};
 use crate::version::check::{check_name, refuse};
@@ -6,24 +6,24 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Most pipelines and services that one workspace may call.
+/// Maximum number of pipelines and services that one workspace may call.
 pub const MAX_MAY_CALL: usize = 256;
-/// Digits of a key's hash.
+/// Number of hex digits of a key's hash.
 const KEY_HASH_DIGITS: usize = 64;
 
 /// A customer of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// Its name.
+    /// The name of the workspace.
     pub id: WorkspaceId,
-    /// SHA-256 of the key that its callers send, in hex; the key itself is kept nowhere.
+    /// SHA-256 of the API key that its callers send, in hex; the key itself isn't stored.
     pub key_hash: String,
     /// The pipelines and services that it may call.
     pub may_call: Vec<ServiceId>,
 }
 
 impl Workspace {
-    /// A workspace whose callers send `key`.
+    /// Creates a workspace whose callers send `key`.
     pub fn new(id: impl Into<WorkspaceId>, key: &str, may_call: Vec<ServiceId>) -> Workspace {
         Workspace { id: id.into(), key_hash: key_hash(key), may_call }
     }
@@ -54,7 +54,7 @@
     }
 }
 
-/// SHA-256 of a key, in hex.
+/// Returns the SHA-256 of a key, in hex.
 pub fn key_hash(key: &str) -> String {
     let digest = Sha256::digest(key.as_bytes());
     let digit = |value: u8| char::from_digit(value.into(), 16).expect("half a byte is a digit");
--- a/crates/core/tests/config_spread/focused.rs
+++ b/crates/core/tests/config_spread/focused.rs
@@ -239,7 +239,7 @@
 
     spread.on_message(peer(2), digest);
 
-    assert_eq!(sent(&mut spread), [ConfigMessage::Summary { applied: 5, ask: true }]);
+    assert_eq!(sent(&mut spread), [ConfigMessage::Summary { applied: 5, wants_reply: true }]);
     assert_eq!(spread.applied(), 5);
 }
 
@@ -295,7 +295,7 @@
     let known = Known { place: "pasila".into(), near: vec![peer(2)] };
     spread.on_list(listing(5, &[(page(), 5)]));
     spread.on_object(page(), Some((5, value(5.0))));
-    spread.on_message(peer(2), ConfigMessage::Summary { applied: 9, ask: false });
+    spread.on_message(peer(2), ConfigMessage::Summary { applied: 9, wants_reply: false });
 
     clock.advance(SOON);
     spread.update_peers(&known);
