--- a/crates/core/src/version/spreading/fetches.rs
+++ b/crates/core/src/version/spreading/fetches.rs
@@ -22,8 +22,8 @@
         self.requested.insert(page, (peer, until));
     }
 
-    /// Clears the requests to a peer that sent pages, so that pages that didn't fit into its answer may be requested again
-    /// at once.
+    /// Clears the requests to a peer that sent pages, so that pages that didn't fit into its answer may be requested
+    /// again at once.
     pub(crate) fn answered_by(&mut self, peer: Incarnation) {
         self.requested.retain(|_, (of, _)| *of != peer);
     }
--- a/crates/core/src/version/spreading/store_reader.rs
+++ b/crates/core/src/version/spreading/store_reader.rs
@@ -116,8 +116,8 @@
         self.failures = 0;
     }
 
-    /// Delays the next call after one failed or was answered from a stale copy; `jitter`, from 0 to below 1, spreads the
-    /// retries.
+    /// Delays the next call after one failed or was answered from a stale copy; `jitter`, from 0 to below 1, spreads
+    /// the retries.
     pub(crate) fn failed(
         &mut self,
         settings: &SpreadSettings,
--- a/crates/core/tests/config_spread/fleet.rs
+++ b/crates/core/tests/config_spread/fleet.rs
@@ -1,4 +1,4 @@
-//! Focused tests of whole fleets: start from peers, takeovers, cuts, and rest.
+//! Focused tests of whole fleets: start from peers, change of watchers, network partitions, and idle load.
 
 use crate::focused::weight;
 use crate::world::World;
@@ -8,11 +8,11 @@
 use sorrellock_ports::config::{ConfigStore, RowEdit};
 use std::time::Duration;
 
-/// Bound of every wait, in model time.
+/// Upper bound of every wait, in simulated time.
 const SOON: Duration = Duration::from_secs(5);
 const PLACES: [&str; 3] = ["pasila", "vantaa", "espoo"];
 
-/// A fleet whose rows are written and in force everywhere.
+/// Creates a fleet with a first change in force at all daemons.
 fn settled(count: usize) -> World {
     let mut world = World::new(&PLACES, count, 7);
     let operator = ConfigStore::new(world.store.clone(), "anna");
@@ -51,7 +51,7 @@
         world.up().all(|(_, spread)| weight(spread) == 3.0 && spread.applied() >= revision)
     };
 
-    // News are pushed on: rounds of comparing alone take longer.
+    // Updates are pushed: periodic comparisons alone take longer.
     assert!(world.until(Duration::from_millis(1_500), all).is_some());
 }
 
@@ -95,9 +95,9 @@
 
     let seconds = 60;
     let (calls, messages) = (world.store_calls - calls, world.messages - messages);
-    // In each of three places a watch each two seconds, as a silence that took all watches must show in time, and one
-    // each ten seconds; a summary a second from each of thirty daemons, one more from each watcher, and the answers to
-    // those that differ.
+    // In each of three data centres, one watcher starts a watch every two seconds, so that a silence of the store that
+    // lost all watches is detected in time, and the other one every ten seconds. Each of thirty daemons sends one
+    // summary per second, each watcher one more, and those that differ are answered.
     assert!(calls <= 3 * (seconds / 2 + seconds / 10 + 1), "{calls} calls");
     assert!(messages <= 3 * seconds * (30 + 6), "{messages} messages");
 }
--- a/crates/core/tests/config_spread/focused.rs
+++ b/crates/core/tests/config_spread/focused.rs
@@ -1,4 +1,4 @@
-//! Focused tests: one guard each.
+//! Focused tests of one daemon: one rule each.
 
 use crate::world::World;
 use sorrellock_core::clock::ManualClock;
@@ -10,17 +10,17 @@
 };
 use std::time::Duration;
 
-/// Bound of every wait, in model time.
+/// Upper bound of every wait, in simulated time.
 const SOON: Duration = Duration::from_secs(5);
 
-/// Peers that a test names.
+/// Peers given by a test.
 #[derive(Default)]
-struct Known {
+struct KnownPeers {
     place: Place,
     near: Vec<Peer>,
 }
 
-impl ConfigPeers for Known {
+impl ConfigPeers for KnownPeers {
     fn of_place(&self) -> Vec<Peer> {
         self.near.clone()
     }
@@ -39,11 +39,11 @@
     Peer { addr, incarnation: u64::from(number) }
 }
 
-/// A daemon on its own, which therefore watches the store.
+/// Creates a daemon without peers, which therefore watches the store.
 fn alone() -> (Spread<ManualClock>, ManualClock) {
     let clock = ManualClock::new();
     let mut spread = Spread::new(SpreadSettings::new(), clock.clone(), peer(1), 1);
-    spread.update_peers(&Known::default());
+    spread.update_peers(&KnownPeers::default());
     spread.tick();
     (spread, clock)
 }
@@ -71,7 +71,7 @@
     PageListing { revision, pages: pages.to_vec() }
 }
 
-/// A daemon on its own that has the page at revision 5 in force.
+/// Creates a daemon without peers that has the page at revision 5 in force.
 fn with_page() -> (Spread<ManualClock>, ManualClock) {
     let (mut spread, clock) = alone();
     spread.on_list(listing(5, &[(page(), 5)]));
@@ -162,8 +162,8 @@
     spread.on_object(page(), Some((6, value(0.0))));
 
     assert_eq!((weight(&spread), spread.applied()), (5.0, 6));
-    let told = events(&mut spread);
-    assert!(matches!(told[0], ConfigEvent::Refused { revision: 6, .. }), "{told:?}");
+    let reported = events(&mut spread);
+    assert!(matches!(reported[0], ConfigEvent::Refused { revision: 6, .. }), "{reported:?}");
     assert_eq!(spread.troubles().refused[&page().key()], 6);
     spread.on_watch(6, listing(7, &[(page(), 7)]));
     spread.on_object(page(), Some((7, value(7.0))));
@@ -282,7 +282,7 @@
 
     let at_once = spread.is_ready();
     clock.advance(SpreadSettings::new().join_grace);
-    spread.update_peers(&Known::default());
+    spread.update_peers(&KnownPeers::default());
     spread.tick();
 
     assert!(!at_once && spread.is_ready());
@@ -292,7 +292,7 @@
 fn a_daemon_on_an_old_copy_is_not_ready_before_it_has_what_its_peers_have() {
     let clock = ManualClock::new();
     let mut spread = Spread::new(SpreadSettings::new(), clock.clone(), peer(1), 1);
-    let known = Known { place: "pasila".into(), near: vec![peer(2)] };
+    let known = KnownPeers { place: "pasila".into(), near: vec![peer(2)] };
     spread.on_list(listing(5, &[(page(), 5)]));
     spread.on_object(page(), Some((5, value(5.0))));
     spread.on_message(peer(2), ConfigMessage::Summary { applied: 9, wants_reply: false });
--- a/crates/core/tests/config_spread/fuzz.rs
+++ b/crates/core/tests/config_spread/fuzz.rs
@@ -1,5 +1,5 @@
-//! Stateful fuzzing: racing operators, a store with outages, old copies and lost answers, a lossy
-//! network with late, doubled and reordered messages, and daemons that pause, die and start.
+//! Stateful fuzzing: racing operators, a store with outages, stale copies and lost answers, a lossy network with late,
+//! duplicated and reordered messages, and daemons that pause, crash and restart.
 
 use crate::store::{PutFault, Written};
 use crate::world::World;
@@ -14,8 +14,8 @@
 const SEED: u64 = 0x5072_6561;
 const DAEMONS: usize = 7;
 const KINDS: [&str; 2] = ["match", "draft"];
-/// Within this, once all is healed, every daemon has all in force: the aim is four seconds for a change, and a daemon that
-/// starts waits two for its peers.
+/// Time after the end of all faults within which every daemon must have all configuration in force: four seconds are
+/// allowed for a change, and a starting daemon waits two for its peers.
 const HEALED_WITHIN: Duration = Duration::from_secs(6);
 
 #[derive(Clone, Debug)]
@@ -25,14 +25,14 @@
         workspace: u8,
         kind: u8,
     },
-    /// Two operators change rows of the same page at the same moment.
+    /// Two operators change rows, of which the second writes just before the put of the first.
     Race {
         workspace: u8,
         kind: u8,
         other: u8,
         other_kind: u8,
     },
-    /// An operator changes a row in many workspaces at once.
+    /// An operator changes a row in each workspace at once.
     SetMany {
         kind: u8,
     },
@@ -46,9 +46,9 @@
         workspace: u8,
     },
     StoreDown(bool),
-    /// The store answers nothing, or answers again what is sent from then on.
+    /// The store becomes silent, or answers again the calls that arrive from then on.
     StoreSilent(bool),
-    /// Calls of the store that are under way are never answered.
+    /// Calls to the store in progress are never answered.
     LoseCalls,
     OldCopy(bool),
     Loss(u8),
@@ -92,11 +92,11 @@
     }
 }
 
-/// What the operators were told, by the weight that each change sets: no two set the same.
+/// The outcome of each change as reported to its operator, by the weight that it sets, which is unique.
 #[derive(Default)]
 struct Oracle {
     next: u32,
-    /// The last accepted change of each row: revision and weight.
+    /// The last accepted change of each row, as revision and weight.
     accepted: BTreeMap<String, (Revision, u32)>,
     refused: BTreeSet<u32>,
     unsure: BTreeSet<u32>,
@@ -122,7 +122,7 @@
                     *accepted = (*accepted).max((written.revision, weight));
                 }),
                 Err(err) if err.may_have_taken_effect() => drop(self.unsure.insert(weight)),
-                // A change of several pages is refused page by page.
+                // A change of several pages can be refused on some of them only, so its weight may be in force on others.
                 Err(_) if report.pages.len() == 1 => drop(self.refused.insert(weight)),
                 Err(_) => {}
             }
@@ -215,7 +215,7 @@
         self.check();
     }
 
-    /// What must hold at any moment.
+    /// Asserts the invariants that hold at any time.
     fn check(&mut self) {
         let events = std::mem::take(&mut self.world.events);
         let history = self.world.store.history();
@@ -248,7 +248,7 @@
         }
     }
 
-    /// What must hold soon after all is well again.
+    /// Ends all faults and asserts what must hold soon after.
     fn heal(&mut self) {
         self.world.silent = false;
         self.world.store.set_down(false);
@@ -280,7 +280,7 @@
         self.check_values(&tainted);
     }
 
-    /// Every accepted change is in force everywhere, unless a later one took its place.
+    /// Asserts that the last accepted change of each row, or a change of unknown outcome, is in force at all daemons.
     fn check_values(&self, tainted: &BTreeSet<PageId>) {
         let oracle = self.oracle.lock().unwrap();
         for name in &self.names {
@@ -308,8 +308,8 @@
     }
 }
 
-/// Whoever says that all is in force up to a revision has all: each page at its last write up to
-/// there, unless that was a bad one or a deletion, or one took its place before it could be read.
+/// Asserts that a daemon with `applied` has each page at its last write up to there, unless that write or a later one
+/// was malformed or a deletion, which can replace a write before it is read.
 fn check_complete(
     number: usize,
     applied: Revision,
@@ -332,7 +332,7 @@
     }
 }
 
-/// Names of workspaces, of which the first two lie in the same page.
+/// Returns names of workspaces; the first two belong to the same page.
 fn names() -> Vec<String> {
     let first = "w0".to_owned();
     let same = (1..).map(|n| format!("w{n}")).find(|name| page_of(name) == page_of(&first));
--- a/crates/core/tests/config_spread/main.rs
+++ b/crates/core/tests/config_spread/main.rs
@@ -1,4 +1,4 @@
-//! How configuration spreads among daemons: focused tests, and stateful fuzzing against an oracle.
+//! Distribution of the configuration between daemons: focused tests, and stateful fuzzing against an oracle.
 
 mod fleet;
 mod focused;
--- a/crates/core/tests/config_spread/silence.rs
+++ b/crates/core/tests/config_spread/silence.rs
@@ -1,9 +1,9 @@
-//! The store falls silent for a while: a change after it is in force everywhere in time, however long it lasted.
+//! After the store was silent for any length of time, a change must be in force at all daemons in time.
 //!
-//! What users saw: on another interface of the product, changes that the store had acknowledged were not in force for up to nine seconds
-//! after a silence of three. The order of events: a change reaches all watchers at once, and they watch again together; their calls come
-//! into the silence and are never answered. The cause: a watch's own time limit was all that noticed it. The evidence: the same course, with
-//! these daemons, on a paused clock.
+//! Guards against a fault first seen at another interface of the product: changes that the store had acknowledged came
+//! into force up to nine seconds after a silence of three. A change reaches all watchers at once, so that they start
+//! their next watches together; these calls fall into the silence and are never answered. Only the time limit of the
+//! watch itself detected that. These tests run the same scenario with daemons on a manual clock.
 
 use crate::focused::weight;
 use crate::world::World;
@@ -11,7 +11,7 @@
 use sorrellock_ports::config::{ConfigStore, RowEdit};
 use std::time::Duration;
 
-/// The aim: an accepted change is in force everywhere within this time.
+/// Time within which an accepted change must be in force at all daemons.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(4);
 const PLACES: [&str; 3] = ["pasila", "vantaa", "espoo"];
 
@@ -26,7 +26,7 @@
     world.until(IN_FORCE_WITHIN, all)
 }
 
-/// A fleet that has a first change in force.
+/// Creates a fleet with a first change in force at all daemons.
 fn settled(seed: u64) -> World {
     let mut world = World::new(&PLACES, 12, seed);
     let operator = ConfigStore::new(world.store.clone(), "anna");
--- a/crates/core/tests/config_spread/store.rs
+++ b/crates/core/tests/config_spread/store.rs
@@ -1,4 +1,4 @@
-//! A model of the store: outages, old copies, lost and late writes, and operators that race.
+//! A model of the store with outages, stale copies, lost and late writes, and racing operators.
 
 use sorrellock_core::id::Revision;
 use sorrellock_core::version::{CONFIG_PREFIX, PageId, PageListing};
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// What becomes of a put.
+/// The fault that is injected into a put.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PutFault {
     None,
@@ -16,7 +16,7 @@
     Late,
 }
 
-/// What a write left in the store.
+/// The result of a write in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Written {
     Good,
@@ -43,7 +43,7 @@
 
 type Hook = Box<dyn FnOnce() + Send>;
 
-/// The model; clones share it.
+/// The model of the store; clones share its state.
 #[derive(Clone, Default)]
 pub struct ModelStore {
     inner: Arc<Mutex<Inner>>,
@@ -55,7 +55,7 @@
         self.inner().down = down;
     }
 
-    /// Answers reads from a copy of the present state from now on, or no longer.
+    /// Starts (`true`) or stops (`false`) answering reads from a copy of the present state.
     pub fn set_old_copy(&self, old: bool) {
         let mut inner = self.inner();
         inner.old = old.then(|| inner.now.clone());
@@ -65,7 +65,7 @@
         self.inner().faults.push_back(fault);
     }
 
-    /// Lets another operator in just before the next put.
+    /// Runs `hook` once just before the next put, as a concurrent operator.
     pub fn before_put(&self, hook: impl FnOnce() + Send + 'static) {
         *self.before_put.lock().unwrap() = Some(Box::new(hook));
     }
@@ -74,21 +74,21 @@
         self.before_put.lock().unwrap().take();
         let mut inner = self.inner();
         inner.faults.clear();
-        inner.land_late();
+        inner.apply_late();
     }
 
-    /// Writes past the tool.
+    /// Writes a malformed page without the configuration tool.
     pub fn write_bad(&self, page: PageId) {
         let mut inner = self.inner();
         inner.write(&page.key(), b"{\"items\": [", Written::Bad);
     }
 
-    /// Something else than configuration is written.
+    /// Writes an object that isn't configuration: only the revision changes.
     pub fn write_other(&self) {
         self.inner().now.revision += 1;
     }
 
-    /// Deletes past the tool.
+    /// Deletes a page without the configuration tool.
     pub fn delete_page(&self, page: PageId) {
         let mut inner = self.inner();
         if inner.now.objects.remove(&page.key()).is_none() {
@@ -100,27 +100,27 @@
         inner.history.push((revision, page, Written::Deleted));
     }
 
-    /// What was written to each page, in order.
+    /// Returns all writes to pages, in order.
     pub fn history(&self) -> Vec<(Revision, PageId, Written)> {
         self.inner().history.clone()
     }
 
-    /// The pages that were ever written past the tool.
+    /// Returns the pages that were ever written or deleted without the configuration tool.
     pub fn tainted(&self) -> BTreeSet<PageId> {
         let inner = self.inner();
         let past_tool = inner.history.iter().filter(|(.., written)| *written != Written::Good);
         past_tool.map(|(_, page, _)| *page).collect()
     }
 
-    /// The pages and versions now.
+    /// Returns the present pages and their versions.
     pub fn pages(&self) -> BTreeMap<PageId, Revision> {
         let inner = self.inner();
         let objects = inner.now.objects.iter();
         objects.map(|(key, (version, _))| (PageId::parse(key).unwrap(), *version)).collect()
     }
 
-    /// What a daemon that watches is shown: nothing as long as nothing changed.
-    pub fn watch_pages(&self, after: Revision, over: bool) -> Option<Result<PageListing, ()>> {
+    /// Returns the answer to a watch: `None` while nothing changed and the watch hasn't expired.
+    pub fn watch_pages(&self, after: Revision, expired: bool) -> Option<Result<PageListing, ()>> {
         let inner = self.inner();
         if inner.down {
             return Some(Err(()));
@@ -134,7 +134,7 @@
             .filter(|(.., revision)| *revision > after)
             .map(|(key, version, _)| (PageId::parse(key).unwrap(), version))
             .collect();
-        let answers = over || !pages.is_empty();
+        let answers = expired || !pages.is_empty();
         answers.then_some(Ok(PageListing { revision: shown.revision, pages }))
     }
 
@@ -175,7 +175,7 @@
         Ok(self.write(key, value, Written::Good))
     }
 
-    fn land_late(&mut self) {
+    fn apply_late(&mut self) {
         for (key, value, when) in std::mem::take(&mut self.late) {
             let _ = self.put(&key, &value, when);
         }
@@ -194,7 +194,7 @@
         }
         let found = inner.shown().objects.get(key).cloned();
         let object = found.map(|(version, value)| Object { key: key.to_owned(), version, value });
-        inner.land_late();
+        inner.apply_late();
         Ok(object)
     }
 
--- a/crates/core/tests/config_spread/world.rs
+++ b/crates/core/tests/config_spread/world.rs
@@ -1,4 +1,4 @@
-//! Several daemons, their network and the store, on one paused clock.
+//! A simulation of several daemons, their network and the store, on one manual clock.
 
 use crate::store::ModelStore;
 use rand::rngs::SmallRng;
@@ -14,13 +14,13 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The time of one step.
+/// Simulated time of one step.
 pub const STEP: Duration = Duration::from_millis(20);
-/// How often the daemons learn who is alive, in steps.
+/// Interval at which the daemons get the live members, in steps.
 const MEMBERSHIP_STEPS: u64 = 25;
-/// Longest delay of a message or a call, in steps.
+/// Delay of a message, in steps, is below this.
 const MAX_DELAY: u64 = 4;
-/// Port of the first daemon; the others follow.
+/// Port of the first daemon; the others use the following ports.
 const FIRST_PORT: u16 = 1000;
 
 pub struct Daemon {
@@ -28,12 +28,12 @@
     /// `None` while it is down.
     pub spread: Option<Spread<ManualClock>>,
     pub peer: Peer,
-    /// Steps for which it is still paused.
+    /// Number of steps for which it stays paused.
     pub paused: u64,
     call: Option<Call>,
     ask_at: Instant,
     peers: Peers,
-    /// The highest revision of each page that this incarnation had in force.
+    /// The revision of each page in force after this incarnation's last step.
     seen: BTreeMap<PageId, Revision>,
     seen_applied: Revision,
 }
@@ -59,29 +59,29 @@
     }
 }
 
-/// A call of the store under way.
+/// A call to the store in progress.
 #[derive(Clone, Copy)]
 struct Call {
     call: StoreCall,
-    /// When the store takes it up.
+    /// When the store receives it.
     at: Instant,
     /// How long its caller waits for an answer, beyond a watch's own wait.
     limit: Duration,
-    /// The store has taken it up.
-    is_taken: bool,
-    /// It came while the store was silent, or would have been answered then: it is never answered.
+    /// Whether the store has received it.
+    is_received: bool,
+    /// Whether it is never answered, because it arrived, or was due to be answered, while the store was silent.
     is_lost: bool,
 }
 
 impl Call {
-    /// The store meets it at `now` while it is silent.
-    fn meet_silence(&mut self, now: Instant) {
-        self.is_lost |= !self.is_taken || now >= self.at + wait_of(self.call);
+    /// Applies the silence of the store at `now` to the call.
+    fn apply_silence(&mut self, now: Instant) {
+        self.is_lost |= !self.is_received || now >= self.at + max_hold(self.call);
     }
 
-    /// Whether its caller gives it up.
-    fn is_given_up(&self, now: Instant) -> bool {
-        self.is_lost && now >= self.at + wait_of(self.call) + self.limit
+    /// Whether its caller abandons it because of its time limit.
+    fn is_abandoned(&self, now: Instant) -> bool {
+        self.is_lost && now >= self.at + max_hold(self.call) + self.limit
     }
 }
 
@@ -97,11 +97,11 @@
     pub store: ModelStore,
     pub daemons: Vec<Daemon>,
     pub settings: SpreadSettings,
-    /// One message in so many is lost, and one doubled; 0 for none.
+    /// One message out of this many is lost, and one is duplicated; 0 for none.
     pub loss: u32,
-    /// Whether the store answers nothing.
+    /// Whether the store doesn't answer any call.
     pub silent: bool,
-    /// Whether places can't reach one another.
+    /// Whether data centres can't reach each other.
     pub cut: bool,
     pub events: Vec<(usize, ConfigEvent)>,
     pub store_calls: u64,
@@ -113,7 +113,7 @@
 }
 
 impl World {
-    /// `count` daemons, in turn in each of `places`, all started.
+    /// Creates and starts `count` daemons, assigned to `places` in turn.
     pub fn new(places: &[&str], count: usize, seed: u64) -> World {
         let world = World {
             clock: ManualClock::new(),
@@ -134,7 +134,7 @@
         world.with_daemons(places, count)
     }
 
-    /// Adds `count` daemons, in turn in each of `places`, and starts them.
+    /// Adds and starts `count` daemons, assigned to `places` in turn.
     pub fn with_daemons(mut self, places: &[&str], count: usize) -> World {
         for number in 0..count {
             let addr: SocketAddr =
@@ -156,7 +156,7 @@
         self
     }
 
-    /// Starts a daemon anew; it knows nothing, and nobody is known to it for a while.
+    /// Restarts a daemon with empty state; it knows no peers until the members are next updated.
     pub fn start(&mut self, number: usize) {
         self.incarnations += 1;
         let incarnation = self.incarnations * 7919;
@@ -185,14 +185,14 @@
         daemons.filter_map(|(number, daemon)| Some((number, daemon.spread.as_ref()?)))
     }
 
-    /// Lets the store be silent for a while, from now on.
+    /// Runs the world for `lasts` while the store is silent.
     pub fn silence(&mut self, lasts: Duration) {
         self.silent = true;
         self.until(lasts, |_| false);
         self.silent = false;
     }
 
-    /// The calls of the store that are under way are never answered.
+    /// Loses all calls to the store in progress: they are never answered.
     pub fn lose_calls(&mut self) {
         let calls = self.daemons.iter_mut().filter_map(|daemon| daemon.call.as_mut());
         calls.for_each(|call| call.is_lost = true);
@@ -202,11 +202,11 @@
         (0..count).for_each(|_| self.step());
     }
 
-    /// Steps until `done`, and tells after how long; `None` if it takes longer than `most`.
-    pub fn until(&mut self, most: Duration, done: impl Fn(&World) -> bool) -> Option<Duration> {
+    /// Steps until `done` and returns the time that it took; `None` if it takes longer than `max_wait`.
+    pub fn until(&mut self, max_wait: Duration, done: impl Fn(&World) -> bool) -> Option<Duration> {
         let begin = self.clock.now();
         while !done(self) {
-            if self.clock.now() - begin > most {
+            if self.clock.now() - begin > max_wait {
                 return None;
             }
             self.step();
@@ -251,7 +251,7 @@
         let delay = STEP * self.rng.random_range(0..3);
         let daemon = &mut self.daemons[number];
         let Some(spread) = &mut daemon.spread else { return };
-        let Some(under_way) = &mut daemon.call else {
+        let Some(pending) = &mut daemon.call else {
             if now < daemon.ask_at {
                 return;
             }
@@ -260,27 +260,28 @@
                 Ok(call) => {
                     self.store_calls += 1;
                     let at = now + delay;
-                    daemon.call = Some(Call { call, at, limit, is_taken: false, is_lost: false });
+                    daemon.call =
+                        Some(Call { call, at, limit, is_received: false, is_lost: false });
                 }
                 Err(at) => daemon.ask_at = at,
             }
             return;
         };
-        if now < under_way.at {
+        if now < pending.at {
             return;
         }
         if self.silent {
-            under_way.meet_silence(now);
+            pending.apply_silence(now);
         }
-        if under_way.is_given_up(now) {
+        if pending.is_abandoned(now) {
             daemon.call = None;
             return spread.on_store_failure(None);
         }
-        if self.silent || under_way.is_lost {
+        if self.silent || pending.is_lost {
             return;
         }
-        under_way.is_taken = true;
-        let Call { call, at, .. } = *under_way;
+        pending.is_received = true;
+        let Call { call, at, .. } = *pending;
         let done = match call {
             StoreCall::List => {
                 match self.store.list_pages() {
@@ -325,7 +326,7 @@
         }
         let twice = lossy && self.rng.random_range(0..self.loss) == 0;
         for _ in 0..1 + u32::from(twice) {
-            // Different delays reorder; now and then one comes very late.
+            // Random delays reorder messages; one in 20 arrives very late.
             let late = lossy && self.rng.random_range(0..20) == 0;
             let delay = self.rng.random_range(0..MAX_DELAY) + if late { 200 } else { 0 };
             let at = self.steps + delay;
@@ -376,7 +377,7 @@
         }
     }
 
-    /// No revision ever falls within an incarnation.
+    /// Asserts that no revision decreases within an incarnation.
     fn check_monotonic(&mut self, number: usize) {
         let daemon = &mut self.daemons[number];
         let Some(spread) = &daemon.spread else { return };
@@ -390,8 +391,8 @@
     }
 }
 
-/// How long the store holds a call without news.
-fn wait_of(call: StoreCall) -> Duration {
+/// Returns how long the store holds a call without changes.
+fn max_hold(call: StoreCall) -> Duration {
     match call {
         StoreCall::Watch { wait, .. } => wait,
         StoreCall::List | StoreCall::Get(_) => Duration::ZERO,
--- a/crates/core/tests/config_view.rs
+++ b/crates/core/tests/config_view.rs
@@ -1,4 +1,4 @@
-//! The view of the configuration against a naive one that is built anew from all pages.
+//! Compares the view of the configuration with a naive one that searches all pages at each lookup.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use sorrellock_core::id::Revision;
@@ -13,11 +13,11 @@
 const KINDS: [&str; 3] = [DEFAULT_KIND, "match", "match-2"];
 const KEYS: [&str; 4] = ["k0", "k1", "k2", "k3"];
 
-/// What is written to the page of a workspace.
+/// A write to a page; `target` selects the type of page.
 #[derive(Clone, Debug)]
 struct Write {
     workspace: u8,
-    what: u8,
+    target: u8,
     revision: u8,
     value: u8,
     of_peer: bool,
@@ -27,7 +27,7 @@
     fn arbitrary(g: &mut Gen) -> Write {
         Write {
             workspace: u8::arbitrary(g) % NAMES.len() as u8,
-            what: u8::arbitrary(g) % 8,
+            target: u8::arbitrary(g) % 8,
             revision: u8::arbitrary(g),
             value: u8::arbitrary(g),
             of_peer: bool::arbitrary(g),
@@ -42,7 +42,7 @@
 
     fn body(&self) -> (PageId, PageBody) {
         let chosen = |bit: usize| self.value >> bit & 1 == 1;
-        match self.what {
+        match self.target {
             0..=3 => {
                 let kinds = KINDS.iter().enumerate().filter(|(bit, _)| chosen(*bit));
                 let row = |(_, kind): (usize, &&str)| {
@@ -79,7 +79,7 @@
     value.unwrap()
 }
 
-/// Keeps the highest revision of each page, and looks through all of them each time.
+/// A naive view: keeps the highest revision of each page and searches all pages at each lookup.
 #[derive(Default)]
 struct Naive {
     pages: BTreeMap<PageId, (Revision, PageBody)>,
@@ -118,13 +118,13 @@
     }
 }
 
-fn same(writes: Vec<Write>) -> bool {
+fn matches_naive(writes: Vec<Write>) -> bool {
     let (mut view, mut naive) = (ConfigView::new(), Naive::default());
     let mut readers = Vec::new();
     for write in writes {
         let (page, body) = write.body();
         let revision = Revision::from(write.revision) + 1;
-        // A reader keeps what it has while later pages are applied.
+        // A clone held by a reader doesn't change while later pages are applied.
         readers.push((view.clone(), view.revisions().collect::<Vec<_>>()));
 
         let taken = match write.of_peer {
@@ -167,7 +167,7 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(40, SEED))
         .tests(if long { 20_000 } else { 500 })
-        .quickcheck(same as fn(Vec<Write>) -> bool);
+        .quickcheck(matches_naive as fn(Vec<Write>) -> bool);
 }
 
 #[test]
