--- a/crates/core/src/version/spreading/gossip.rs
+++ b/crates/core/src/version/spreading/gossip.rs
@@ -10,7 +10,7 @@
 impl<C: Clock> Spread<C> {
     /// Handles a message from a peer.
     pub fn on_message(&mut self, from: Peer, message: ConfigMessage) {
-        if !is_sound(&message) {
+        if !is_well_formed(&message) {
             return self.report(ConfigEvent::BadMessage { peer: from });
         }
         match message {
@@ -119,7 +119,7 @@
 }
 
 /// Whether a message is well-formed: it names existing pages only, and not too many.
-fn is_sound(message: &ConfigMessage) -> bool {
+fn is_well_formed(message: &ConfigMessage) -> bool {
     let exist =
         |pages: &[PageAt]| pages.iter().all(|(page, revision)| page.exists() && *revision > 0);
     match message {
--- a/crates/core/src/version/spreading/spread.rs
+++ b/crates/core/src/version/spreading/spread.rs
@@ -157,9 +157,9 @@
         self.reader.on_list_answered();
         self.reader.answered();
         let shown = |page| listing.pages.iter().any(|(other, _)| *other == page);
-        let gone: Vec<_> =
+        let unlisted: Vec<_> =
             self.view.revisions().map(|(page, _)| page).filter(|page| !shown(*page)).collect();
-        gone.into_iter().for_each(|page| self.on_deleted(page, listing.revision));
+        unlisted.into_iter().for_each(|page| self.on_deleted(page, listing.revision));
         self.on_listing(0, listing);
     }
 
--- a/crates/core/tests/config_spread/fleet.rs
+++ b/crates/core/tests/config_spread/fleet.rs
@@ -77,7 +77,7 @@
 #[test]
 fn a_place_cut_off_goes_on_from_the_store_and_one_without_store_from_the_others() {
     let mut world = settled(9);
-    world.cut = true;
+    world.is_partitioned = true;
     world.steps(50);
 
     set(&world, "3");
--- a/crates/core/tests/config_spread/focused.rs
+++ b/crates/core/tests/config_spread/focused.rs
@@ -85,11 +85,11 @@
 }
 
 fn events(spread: &mut Spread<ManualClock>) -> Vec<ConfigEvent> {
-    let tell = |effect| match effect {
+    let event_of = |effect| match effect {
         Effect::Report(event) => Some(event),
         Effect::Send { .. } => None,
     };
-    spread.take_effects().into_iter().filter_map(tell).collect()
+    spread.take_effects().into_iter().filter_map(event_of).collect()
 }
 
 fn sent(spread: &mut Spread<ManualClock>) -> Vec<ConfigMessage> {
--- a/crates/core/tests/config_spread/fuzz.rs
+++ b/crates/core/tests/config_spread/fuzz.rs
@@ -52,6 +52,7 @@
     LoseCalls,
     OldCopy(bool),
     Loss(u8),
+    /// Data centres lose or regain contact with each other.
     Cut(bool),
     Kill(u8),
     Start(u8),
@@ -110,7 +111,7 @@
         self.next
     }
 
-    fn take(&mut self, weight: u32, result: Result<ChangeReport, ConfigError>) {
+    fn record(&mut self, weight: u32, result: Result<ChangeReport, ConfigError>) {
         let Ok(report) = result else {
             self.refused.insert(weight);
             return;
@@ -122,7 +123,7 @@
                     *accepted = (*accepted).max((written.revision, weight));
                 }),
                 Err(err) if err.may_have_taken_effect() => drop(self.unsure.insert(weight)),
-                // A change of several pages can be refused on some of them only, so its weight may be in force on others.
+                // A change of several pages can be refused on some of them only; its weight may be in force on others.
                 Err(_) if report.pages.len() == 1 => drop(self.refused.insert(weight)),
                 Err(_) => {}
             }
@@ -164,7 +165,7 @@
             };
             let edits: Vec<RowEdit> = rows.iter().map(edit).collect();
             let result = operator.set(&edits, None);
-            oracle.lock().unwrap().take(weight, result);
+            oracle.lock().unwrap().record(weight, result);
         }
     }
 
@@ -198,7 +199,7 @@
             Op::LoseCalls => self.world.lose_calls(),
             Op::OldCopy(old) => self.world.store.set_old_copy(old),
             Op::Loss(loss) => self.world.loss = [0, 3, 10][usize::from(loss) % 3],
-            Op::Cut(cut) => self.world.cut = cut,
+            Op::Cut(is_partitioned) => self.world.is_partitioned = is_partitioned,
             Op::Kill(number) => self.world.kill(daemon(number)),
             Op::Start(number) => self.world.start(daemon(number)),
             Op::Pause { daemon: number, steps } => {
@@ -255,7 +256,7 @@
         self.world.store.set_old_copy(false);
         self.world.store.clear_faults();
         self.world.loss = 0;
-        self.world.cut = false;
+        self.world.is_partitioned = false;
         for number in 0..DAEMONS {
             self.world.daemons[number].paused = 0;
             if self.world.daemons[number].spread.is_none() {
--- a/crates/core/tests/config_spread/world.rs
+++ b/crates/core/tests/config_spread/world.rs
@@ -102,7 +102,7 @@
     /// Whether the store doesn't answer any call.
     pub silent: bool,
     /// Whether data centres can't reach each other.
-    pub cut: bool,
+    pub is_partitioned: bool,
     pub events: Vec<(usize, ConfigEvent)>,
     pub store_calls: u64,
     pub messages: u64,
@@ -122,7 +122,7 @@
             settings: SpreadSettings::new(),
             loss: 0,
             silent: false,
-            cut: false,
+            is_partitioned: false,
             events: Vec::new(),
             store_calls: 0,
             messages: 0,
@@ -343,7 +343,7 @@
             let to = usize::from(flight.to.addr.port() - FIRST_PORT);
             let apart = self.daemons[to].place != self.daemons[flight.from].place;
             let misdirected = self.daemons[to].peer.incarnation != flight.to.incarnation;
-            if misdirected || (apart && self.cut) {
+            if misdirected || (apart && self.is_partitioned) {
                 continue;
             }
             if self.daemons[to].paused > 0 {
@@ -366,9 +366,9 @@
             .collect();
         for daemon in &mut self.daemons {
             let others = || alive.iter().filter(|(_, peer)| *peer != daemon.peer);
-            let (place, cut) = (daemon.place.clone(), self.cut);
+            let (place, is_partitioned) = (daemon.place.clone(), self.is_partitioned);
             let near = others().filter(|(other, _)| *other == place).map(|(_, peer)| *peer);
-            let far = others().filter(|(other, _)| *other != place && !cut);
+            let far = others().filter(|(other, _)| *other != place && !is_partitioned);
             daemon.peers = Peers {
                 place: place.clone(),
                 near: near.collect(),
