--- a/crates/core/src/version/spreading/spread.rs
+++ b/crates/core/src/version/spreading/spread.rs
@@ -190,7 +190,8 @@
         self.advance();
     }
 
-    /// Handles a failed call. The next one is delayed by a backoff, or by `retry_after` if that is longer.
+    /// Handles a failed call. The next one is delayed by a backoff, or by `retry_after` if that is longer, at most by
+    /// `max_retry`.
     pub fn on_store_failure(&mut self, retry_after: Option<Duration>) {
         let jitter = self.rng.random_range(0.0..1.0);
         self.reader.failed(&self.settings, self.clock.now(), retry_after, jitter);
