--- a/crates/daemon/src/process/config_agent.rs
+++ b/crates/daemon/src/process/config_agent.rs
@@ -143,7 +143,7 @@
     fn run<L: Link>(&self, inputs: &Receiver<(Peer, ConfigMessage)>, link: &L) {
         let mut next = Instant::now();
         let mut members = self.fleet.view();
-        self.drive(link, |spread| spread.learn_peers(&*members));
+        self.drive(link, |spread| spread.update_peers(&*members));
         while !self.is_stopped() {
             match inputs.recv_deadline(next) {
                 Ok((from, message)) => {
@@ -153,7 +153,7 @@
                     let now = self.fleet.view();
                     if !Arc::ptr_eq(&now, &members) {
                         members = now;
-                        self.drive(link, |spread| spread.learn_peers(&*members));
+                        self.drive(link, |spread| spread.update_peers(&*members));
                     }
                     self.drive(link, Spread::tick);
                     next = Instant::now() + TICK;
@@ -222,7 +222,8 @@
         let was_ready = spread.is_ready();
         step(&mut spread);
         let effects = spread.take_effects();
-        let applied = |effect: &Effect| matches!(effect, Effect::Tell(ConfigEvent::Applied { .. }));
+        let applied =
+            |effect: &Effect| matches!(effect, Effect::Report(ConfigEvent::Applied { .. }));
         if effects.iter().any(applied) {
             // Under the lock, so that no earlier view takes the place of a later one.
             self.view.store(Arc::new(spread.view().clone()));
@@ -236,7 +237,7 @@
         for effect in effects {
             match effect {
                 Effect::Send { to, message } => self.send(link, to, message),
-                Effect::Tell(event) => self.tell(event, was_ready),
+                Effect::Report(event) => self.tell(event, was_ready),
             }
         }
     }
