--- a/crates/core/src/process/orders/demand.rs
+++ b/crates/core/src/process/orders/demand.rs
@@ -1,22 +1,22 @@
-//! What a model needs: its layers, cut into ranges, and its share of the work.
+//! Demand of a model: its layers, split into ranges, and its share of the work.
 
 use crate::id::{Layer, ModelId};
 use crate::request::LayerRange;
 use serde::{Deserialize, Serialize};
 
-/// What a model needs.
+/// The ranges of layers that engines have to hold for a model, and the model's share of the work.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
     /// The model.
     pub model: ModelId,
-    /// Its layers, cut into the ranges that engines hold, in order.
+    /// Its layers in order, split into the ranges that engines hold.
     pub ranges: Vec<LayerRange>,
-    /// Its share of the work, above 0; only the ratio to the others counts.
+    /// Its share of the work, above 0. Only the ratio to other models' shares matters.
     pub share: f64,
 }
 
 impl Demand {
-    /// A model of `layers` layers, cut into `stages` ranges as even as they go.
+    /// Creates the demand of a model with `layers` layers, split as evenly as possible into `stages` ranges.
     pub fn new(model: impl Into<ModelId>, layers: Layer, stages: u16, share: f64) -> Demand {
         let stages = stages.clamp(1, layers.max(1));
         let bound =
--- a/crates/core/src/process/orders/engine_slot.rs
+++ b/crates/core/src/process/orders/engine_slot.rs
@@ -1,11 +1,11 @@
-//! An engine as the planner sees it.
+//! Engines as input of the planner.
 
 use crate::id::{EndpointId, Layer, ModelId, Place};
 use crate::request::LayerRange;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A model's layers in an engine.
+/// A range of a model's layers that an engine holds or loads.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Holding {
     /// The model.
@@ -20,34 +20,34 @@
     }
 }
 
-/// What an engine holds.
+/// Which layers an engine holds or loads.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SlotState {
-    /// Nothing.
+    /// It holds no layers.
     Empty,
-    /// These layers, and it serves them.
+    /// It holds these layers and serves them.
     Serves(Holding),
-    /// It loads these layers, and serves nothing meanwhile.
+    /// It is loading these layers and serves nothing until they are loaded.
     Loads(Holding),
 }
 
-/// An engine as the planner sees it.
+/// State and capabilities of an engine, as input of the planner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSlot {
     /// The engine.
     pub endpoint: EndpointId,
-    /// Its place.
+    /// The place where it runs.
     pub place: Place,
-    /// The most layers that its memory takes.
+    /// Maximum number of layers that fit its memory.
     pub capacity: Layer,
-    /// Layers that it runs a second, for one token each; differs by kind of accelerator.
+    /// Layers that it runs per second, for one token each. Depends on the kind of accelerator.
     pub speed: f64,
-    /// What it holds.
+    /// Which layers it holds or loads.
     pub state: SlotState,
 }
 
 impl EngineSlot {
-    /// An empty engine.
+    /// Creates an engine that holds nothing.
     pub fn new(
         endpoint: impl Into<EndpointId>,
         place: impl Into<Place>,
@@ -58,13 +58,13 @@
         EngineSlot { endpoint, place, capacity, speed, state: SlotState::Empty }
     }
 
-    /// The same engine with another state.
+    /// Sets the state.
     pub fn with_state(mut self, state: SlotState) -> EngineSlot {
         self.state = state;
         self
     }
 
-    /// What it holds or will hold.
+    /// Returns the layers that it holds or loads.
     pub fn holding(&self) -> Option<&Holding> {
         match &self.state {
             SlotState::Empty => None,
@@ -72,12 +72,12 @@
         }
     }
 
-    /// Whether it loads.
+    /// Returns whether it is loading layers.
     pub fn is_loading(&self) -> bool {
         matches!(self.state, SlotState::Loads(_))
     }
 
-    /// Whether its memory takes these layers.
+    /// Returns whether these layers fit its memory.
     pub fn fits(&self, layers: LayerRange) -> bool {
         layers.count() <= usize::from(self.capacity)
     }
--- a/crates/core/src/process/orders/mod.rs
+++ b/crates/core/src/process/orders/mod.rs
@@ -1,15 +1,15 @@
-//! Orders to engines: who may give them, which are taken, and what to order.
+//! Orders to engines: lead election, fencing, and planning of what to order.
 //!
-//! One lead per model gives orders. Who leads is an object in the platform's store; the version
-//! at which a lead was written is the fencing number of its orders. A paused lead that wakes
-//! gives orders with an old number, and the daemon beside the engine refuses them.
+//! One lead per model sends orders. The lead is recorded in an object in the platform's store, and
+//! the version at which it was written is the fencing number of its orders. A lead that resumes
+//! after a pause may send orders with an old number; the daemon beside the engine refuses them.
 
-mod board;
 mod demand;
 mod engine_slot;
 mod fence_guard;
 mod lead_election;
 mod order_book;
+mod plan_state;
 mod planner;
 mod service_levels;
 
--- a/crates/core/src/process/orders/order_book.rs
+++ b/crates/core/src/process/orders/order_book.rs
@@ -1,4 +1,4 @@
-//! The orders that a lead has given and that don't show in what it knows of the engines yet.
+//! Orders that a lead has sent and that the state reported by the engines doesn't reflect yet.
 
 use crate::clock::Clock;
 use crate::id::EndpointId;
@@ -6,44 +6,46 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// How long an order given is held for begun before the engine's daemon tells of it.
-pub const ORDER_WAIT: Duration = Duration::from_secs(5);
-/// The wait before an engine that refused gets an order again; it doubles with each refusal.
-pub const REFUSED_WAIT: Duration = Duration::from_secs(2);
-/// The longest such wait.
-pub const REFUSED_WAIT_MOST: Duration = Duration::from_secs(300);
+/// How long an order that was sent counts as started before the engine's daemon reports it.
+pub const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Initial backoff before an engine that refused gets another order. It doubles with each refusal.
+pub const REFUSAL_BACKOFF: Duration = Duration::from_secs(2);
+/// Upper limit of the backoff after refusals.
+pub const MAX_REFUSAL_BACKOFF: Duration = Duration::from_secs(300);
 
-/// The orders that a lead has given. The planner's bound on loads bounds them too.
+/// Pending orders of a lead, and backoffs of engines that refused. The planner's limit on concurrent
+/// loads also limits the pending orders.
 #[derive(Debug)]
 pub struct OrderBook<C> {
     clock: C,
-    given: HashMap<EndpointId, (Instant, Holding)>,
-    refused: HashMap<EndpointId, Refused>,
+    pending: HashMap<EndpointId, (Instant, Holding)>,
+    refused: HashMap<EndpointId, Refusal>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Refused {
-    times: u32,
+struct Refusal {
+    count: u32,
     until: Instant,
 }
 
 impl<C: Clock> OrderBook<C> {
-    /// No orders.
+    /// Creates an empty book.
     pub fn new(clock: C) -> OrderBook<C> {
-        OrderBook { clock, given: HashMap::new(), refused: HashMap::new() }
+        OrderBook { clock, pending: HashMap::new(), refused: HashMap::new() }
     }
 
-    /// Shows the engines with orders as loading, and those that refused one lately as too small for
-    /// anything. Forgets what has shown, has taken too long, or concerns engines that are gone.
+    /// Marks engines with a pending order as loading, and sets the capacity of those in backoff to 0,
+    /// so that nothing fits them. Drops orders that are confirmed or timed out, and backoffs of
+    /// engines that are gone.
     pub fn apply(&mut self, engines: &mut [EngineSlot]) {
         let now = self.clock.now();
-        self.given.retain(|_, (until, _)| *until > now);
+        self.pending.retain(|_, (until, _)| *until > now);
         let mut refused = std::mem::take(&mut self.refused);
         for engine in engines {
-            if engine.is_loading() || self.has_shown(engine) {
-                self.given.remove(&engine.endpoint);
+            if engine.is_loading() || self.is_confirmed(engine) {
+                self.pending.remove(&engine.endpoint);
             }
-            if let Some((_, to)) = self.given.get(&engine.endpoint) {
+            if let Some((_, to)) = self.pending.get(&engine.endpoint) {
                 engine.state = SlotState::Loads(to.clone());
             }
             if let Some(refusal) = refused.remove(&engine.endpoint) {
@@ -55,28 +57,28 @@
         }
     }
 
-    /// An order was given.
+    /// Records an order that was sent.
     pub fn on_given(&mut self, order: &Move) {
-        let until = self.clock.now() + ORDER_WAIT;
-        self.given.insert(order.endpoint.clone(), (until, order.to.clone()));
+        let until = self.clock.now() + ORDER_TIMEOUT;
+        self.pending.insert(order.endpoint.clone(), (until, order.to.clone()));
     }
 
-    /// An engine's daemon took an order.
+    /// Ends the backoff of an engine whose daemon accepted an order.
     pub fn on_taken(&mut self, endpoint: &EndpointId) {
         self.refused.remove(endpoint);
     }
 
-    /// An engine, or the daemon beside it, refused an order.
+    /// Drops the order that an engine or the daemon beside it refused, and starts or doubles the backoff.
     pub fn on_refused(&mut self, endpoint: &EndpointId) {
-        self.given.remove(endpoint);
-        let times = self.refused.get(endpoint).map_or(0, |refused| refused.times);
-        let wait = REFUSED_WAIT.saturating_mul(1 << times.min(16)).min(REFUSED_WAIT_MOST);
-        let refused = Refused { times: times + 1, until: self.clock.now() + wait };
+        self.pending.remove(endpoint);
+        let count = self.refused.get(endpoint).map_or(0, |refused| refused.count);
+        let wait = REFUSAL_BACKOFF.saturating_mul(1 << count.min(16)).min(MAX_REFUSAL_BACKOFF);
+        let refused = Refusal { count: count + 1, until: self.clock.now() + wait };
         self.refused.insert(endpoint.clone(), refused);
     }
 
-    fn has_shown(&self, engine: &EngineSlot) -> bool {
-        let given = self.given.get(&engine.endpoint);
-        given.is_some_and(|(_, to)| engine.holding() == Some(to))
+    fn is_confirmed(&self, engine: &EngineSlot) -> bool {
+        let pending = self.pending.get(&engine.endpoint);
+        pending.is_some_and(|(_, to)| engine.holding() == Some(to))
     }
 }
--- a/crates/core/src/process/orders/planner.rs
+++ b/crates/core/src/process/orders/planner.rs
@@ -1,26 +1,26 @@
-//! The planner: which engine is to load which layers next.
+//! The planner decides which engine loads which layers next.
 //!
-//! It raises the range served worst, one engine at a time, and moves no more weights than that
-//! needs: the weight store is rate-limited. An engine that serves is moved only after a loss has
-//! lasted, as an instance that was merely paused comes back with what it held.
+//! It raises the lowest service level, one engine at a time, and moves no more weights than that
+//! needs, because the weight store is rate-limited. A serving engine is moved only after a loss has
+//! lasted for the grace period, because an instance that was only paused returns with its layers.
 
 use crate::clock::Clock;
 use crate::id::EndpointId;
-use crate::process::orders::board::Board;
+use crate::process::orders::plan_state::PlanState;
 use crate::process::orders::{Demand, EngineSlot, Holding};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Settings of a planner.
+/// Settings of a [`Planner`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlannerConfig {
-    /// The most engines that load at a time.
+    /// Maximum number of engines that load at the same time.
     pub max_loads: usize,
-    /// How long a lost engine is expected back before a serving one takes its layers.
+    /// How long a lost engine is expected back before a serving one may replace it.
     pub grace: Duration,
-    /// By which factor a move of a serving engine must raise the lowest level.
+    /// Factor by which the move of a serving engine must raise the lowest level.
     pub min_gain: f64,
-    /// The most engines remembered as lost.
+    /// Maximum number of lost engines that are remembered.
     pub max_lost: usize,
 }
 
@@ -34,7 +34,7 @@
     /// Default of `max_lost`.
     pub const MAX_LOST: usize = 4096;
 
-    /// The defaults.
+    /// Creates a config with the defaults.
     pub fn new() -> PlannerConfig {
         PlannerConfig {
             max_loads: PlannerConfig::MAX_LOADS,
@@ -44,13 +44,13 @@
         }
     }
 
-    /// Lets at most this many engines load at a time.
+    /// Sets the maximum number of engines that load at the same time.
     pub fn with_max_loads(mut self, loads: usize) -> PlannerConfig {
         self.max_loads = loads;
         self
     }
 
-    /// Expects a lost engine back for this long.
+    /// Sets how long a lost engine is expected back.
     pub fn with_grace(mut self, grace: Duration) -> PlannerConfig {
         self.grace = grace;
         self
@@ -63,16 +63,16 @@
     }
 }
 
-/// An engine that is to load layers.
+/// A planned load of layers by an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
     /// The engine.
     pub endpoint: EndpointId,
-    /// What it is to load.
+    /// The layers to load.
     pub to: Holding,
 }
 
-/// Plans moves, one look at the fleet after another.
+/// Plans moves from successive snapshots of the fleet.
 #[derive(Debug)]
 pub struct Planner<C> {
     clock: C,
@@ -82,36 +82,36 @@
 }
 
 impl<C: Clock> Planner<C> {
-    /// A planner that has seen no engine.
+    /// Creates a planner that knows no engines.
     pub fn new(clock: C, cfg: PlannerConfig) -> Planner<C> {
         Planner { clock, cfg, present: HashMap::new(), lost: HashMap::new() }
     }
 
-    /// The moves to order now. The caller gives each engine's state as of now, so that a move that
-    /// was ordered and not yet begun shows as loading.
+    /// Returns the moves to order now. `engines` has to hold current states, with engines that
+    /// have an order but haven't started on it as loading.
     pub fn plan(&mut self, engines: &[EngineSlot], demands: &[Demand]) -> Vec<Move> {
         self.observe(engines);
         let loading = engines.iter().filter(|engine| engine.is_loading()).count();
-        let room = self.cfg.max_loads.saturating_sub(loading);
+        let free_loads = self.cfg.max_loads.saturating_sub(loading);
         let expected = self.lost.values().map(|(_, slot)| slot);
-        let mut board = Board::new(engines, expected, demands, self.cfg.min_gain);
-        let next = std::iter::from_fn(|| board.next_move());
-        next.take(room).collect()
+        let mut state = PlanState::new(engines, expected, demands, self.cfg.min_gain);
+        let next = std::iter::from_fn(|| state.next_move());
+        next.take(free_loads).collect()
     }
 
-    /// How many lost engines are still expected back.
+    /// Returns the number of lost engines that are still expected back.
     pub fn expected_back(&self) -> usize {
         self.lost.len()
     }
 
-    /// Notes who is there and who is lost, and plans nothing. Whoever may become a lead does this
-    /// all along, so that it knows whom to expect back.
+    /// Records which engines are present and which are lost, without planning. A daemon that may
+    /// become lead calls this all the time, so that it knows which engines to expect back.
     pub fn observe(&mut self, engines: &[EngineSlot]) {
         let now = self.clock.now();
-        let seen: HashMap<_, _> =
+        let current: HashMap<_, _> =
             engines.iter().map(|engine| (engine.endpoint.clone(), engine.clone())).collect();
-        let before = std::mem::replace(&mut self.present, seen);
-        for (endpoint, slot) in before {
+        let previous = std::mem::replace(&mut self.present, current);
+        for (endpoint, slot) in previous {
             if !self.present.contains_key(&endpoint) && self.lost.len() < self.cfg.max_lost {
                 self.lost.insert(endpoint, (now, slot));
             }
--- a/crates/core/src/process/orders/service_levels.rs
+++ b/crates/core/src/process/orders/service_levels.rs
@@ -1,30 +1,30 @@
-//! How well each range of layers is served: the planner raises the lowest.
+//! Service level of each range of layers. The planner raises the lowest one.
 
 use crate::process::orders::{Demand, EngineSlot, Holding};
 use crate::request::LayerRange;
 use std::collections::BTreeMap;
 
-/// Index of a demand, and of a range in it.
+/// Index of a demand, and index of a range within it.
 pub type RangeIndex = (usize, usize);
 
-/// Tokens a second that the holders of each range can run, over the model's share.
+/// Tokens per second that the holders of each range can run, divided by the model's share.
 #[derive(Clone, Debug)]
 pub struct ServiceLevels {
     levels: BTreeMap<RangeIndex, f64>,
 }
 
 impl ServiceLevels {
-    /// The levels that these engines give, counting what loads as served.
+    /// Computes the levels of these engines, with loading engines counted as serving.
     pub fn planned(engines: &[EngineSlot], demands: &[Demand]) -> ServiceLevels {
-        ServiceLevels::of(engines, demands, |_| true)
+        ServiceLevels::from_engines(engines, demands, |_| true)
     }
 
-    /// The levels that these engines give now.
+    /// Computes the levels of these engines without the loading ones.
     pub fn current(engines: &[EngineSlot], demands: &[Demand]) -> ServiceLevels {
-        ServiceLevels::of(engines, demands, |engine| !engine.is_loading())
+        ServiceLevels::from_engines(engines, demands, |engine| !engine.is_loading())
     }
 
-    fn of(
+    fn from_engines(
         engines: &[EngineSlot],
         demands: &[Demand],
         counts: impl Fn(&EngineSlot) -> bool,
@@ -35,7 +35,7 @@
             levels.levels.extend(ranges);
         }
         for engine in engines.iter().filter(|engine| counts(engine)) {
-            let index = engine.holding().and_then(|holding| find(demands, holding));
+            let index = engine.holding().and_then(|holding| find_range(demands, holding));
             if let Some(index) = index {
                 levels.add(index, contribution(engine, demands, index));
             }
@@ -43,17 +43,17 @@
         levels
     }
 
-    /// The level of a range.
+    /// Returns the level of a range, or 0 for one that no demand contains.
     pub fn get(&self, index: RangeIndex) -> f64 {
         self.levels.get(&index).copied().unwrap_or_default()
     }
 
-    /// Adds to the level of a range.
-    pub fn add(&mut self, index: RangeIndex, by: f64) {
-        *self.levels.entry(index).or_default() += by;
+    /// Adds `delta` to the level of a range.
+    pub fn add(&mut self, index: RangeIndex, delta: f64) {
+        *self.levels.entry(index).or_default() += delta;
     }
 
-    /// All ranges with their levels, the one served worst first.
+    /// Returns all ranges with their levels, lowest level first.
     pub fn ascending(&self) -> Vec<(RangeIndex, f64)> {
         let mut levels: Vec<_> =
             self.levels.iter().map(|(index, level)| (*index, *level)).collect();
@@ -61,21 +61,21 @@
         levels
     }
 
-    /// The range served worst, and its level.
+    /// Returns the range with the lowest level, and that level.
     pub fn lowest(&self) -> Option<(RangeIndex, f64)> {
         let levels = self.levels.iter().map(|(index, level)| (*index, *level));
         levels.min_by(|(_, a), (_, b)| a.total_cmp(b))
     }
 }
 
-/// Which range of the demands a holding is.
-pub fn find(demands: &[Demand], holding: &Holding) -> Option<RangeIndex> {
+/// Returns the index of the range that a holding matches exactly, if any.
+pub fn find_range(demands: &[Demand], holding: &Holding) -> Option<RangeIndex> {
     let demand = demands.iter().position(|demand| demand.model == holding.model)?;
     let range = demands[demand].ranges.iter().position(|range| *range == holding.layers)?;
     Some((demand, range))
 }
 
-/// What an engine adds to the level of a range by holding it.
+/// Returns what an engine adds to the level of a range by holding it.
 pub fn contribution(engine: &EngineSlot, demands: &[Demand], index: RangeIndex) -> f64 {
     let demand = &demands[index.0];
     let range: LayerRange = demand.ranges[index.1];
--- a/crates/core/tests/orders_planner.rs
+++ b/crates/core/tests/orders_planner.rs
@@ -1,9 +1,10 @@
-//! The planner: heals what a loss left, moves no more than it must, waits before it robs.
+//! Planner tests: it repairs losses, makes no needless moves, and moves a serving engine only after the
+//! grace period. Order book tests: pending orders count as loading, and refusals cause a backoff.
 
 use sorrellock_core::clock::ManualClock;
 use sorrellock_core::process::orders::{
-    Demand, EngineSlot, Holding, Move, ORDER_WAIT, OrderBook, Planner, PlannerConfig, REFUSED_WAIT,
-    ServiceLevels, SlotState,
+    Demand, EngineSlot, Holding, Move, ORDER_TIMEOUT, OrderBook, Planner, PlannerConfig,
+    REFUSAL_BACKOFF, ServiceLevels, SlotState,
 };
 use sorrellock_core::request::LayerRange;
 use std::time::Duration;
@@ -32,7 +33,7 @@
     Planner::new(clock.clone(), PlannerConfig::new().with_grace(GRACE))
 }
 
-fn finish(engines: &mut [EngineSlot], moves: &[Move]) {
+fn finish_loads(engines: &mut [EngineSlot], moves: &[Move]) {
     for order in moves {
         let engine = engines.iter_mut().find(|engine| engine.endpoint == order.endpoint).unwrap();
         engine.state = SlotState::Serves(order.to.clone());
@@ -47,7 +48,7 @@
         .collect();
 
     let moves = planner(&clock).plan(&engines, &demands());
-    finish(&mut engines, &moves);
+    finish_loads(&mut engines, &moves);
 
     assert_eq!(moves.len(), 6);
     for stage in 0..STAGES {
@@ -124,7 +125,7 @@
 }
 
 #[test]
-fn a_lost_engine_that_was_replaced_makes_its_range_no_donor() {
+fn a_range_whose_lost_engine_was_replaced_is_no_donor() {
     let clock = ManualClock::new();
     let mut engines: Vec<_> =
         (0..8).map(|number| serving(number, "pasila", [0, 0, 0, 1, 1, 1, 2, 2][number])).collect();
@@ -136,7 +137,7 @@
     engines.push(slot(9, "pasila"));
 
     let mut moves = planner.plan(&engines, &demands());
-    finish(&mut engines, &moves);
+    finish_loads(&mut engines, &moves);
     moves.extend(planner.plan(&engines, &demands()));
 
     assert_eq!(moves.len(), 2, "the spare engines are enough: {moves:?}");
@@ -161,7 +162,7 @@
 }
 
 #[test]
-fn layers_that_fit_no_engine_are_ordered_from_none() {
+fn layers_that_fit_no_engine_are_not_ordered() {
     let clock = ManualClock::new();
     let engines = vec![EngineSlot::new("small", "pasila", 4, 800.0)];
 
@@ -190,7 +191,7 @@
         for _ in 0..60 {
             let planned = planner.plan(&engines, &demands);
             moves += planned.len();
-            finish(&mut engines, &planned);
+            finish_loads(&mut engines, &planned);
             clock.advance(PlannerConfig::GRACE);
         }
 
@@ -207,33 +208,33 @@
 }
 
 #[test]
-fn an_order_given_counts_as_loading_until_it_shows_or_takes_too_long() {
+fn a_pending_order_counts_as_loading_until_it_is_confirmed_or_times_out() {
     let clock = ManualClock::new();
     let mut book = OrderBook::new(clock.clone());
-    let fresh = || vec![slot(0, "pasila"), slot(1, "pasila")];
+    let empty_engines = || vec![slot(0, "pasila"), slot(1, "pasila")];
     book.on_given(&order(0));
     book.on_given(&order(1));
 
-    let mut given = fresh();
-    book.apply(&mut given);
-    let mut shown = vec![serving(0, "pasila", 0), slot(1, "pasila")];
-    book.apply(&mut shown);
-    let mut forgotten = fresh();
-    book.apply(&mut forgotten);
-    clock.advance(ORDER_WAIT);
-    let mut late = fresh();
-    book.apply(&mut late);
+    let mut pending = empty_engines();
+    book.apply(&mut pending);
+    let mut confirmed = vec![serving(0, "pasila", 0), slot(1, "pasila")];
+    book.apply(&mut confirmed);
+    let mut after_confirmation = empty_engines();
+    book.apply(&mut after_confirmation);
+    clock.advance(ORDER_TIMEOUT);
+    let mut timed_out = empty_engines();
+    book.apply(&mut timed_out);
 
     let loading =
         |slots: &[EngineSlot]| slots.iter().map(EngineSlot::is_loading).collect::<Vec<_>>();
-    assert_eq!(loading(&given), [true, true]);
-    assert_eq!(loading(&shown), [false, true]);
-    assert_eq!(loading(&forgotten), [false, true]);
-    assert_eq!(loading(&late), [false, false]);
+    assert_eq!(loading(&pending), [true, true]);
+    assert_eq!(loading(&confirmed), [false, true]);
+    assert_eq!(loading(&after_confirmation), [false, true]);
+    assert_eq!(loading(&timed_out), [false, false]);
 }
 
 #[test]
-fn an_engine_that_refuses_is_passed_over_for_longer_and_longer() {
+fn the_backoff_of_an_engine_doubles_with_each_refusal() {
     let clock = ManualClock::new();
     let mut book = OrderBook::new(clock.clone());
     let mut capacities = Vec::new();
@@ -245,7 +246,7 @@
             let mut engines = vec![slot(0, "pasila")];
             book.apply(&mut engines);
             capacities.push(engines[0].capacity);
-            clock.advance(REFUSED_WAIT);
+            clock.advance(REFUSAL_BACKOFF);
         }
     }
 
