--- a/crates/core/tests/orders_fuzz.rs
+++ b/crates/core/tests/orders_fuzz.rs
@@ -1,10 +1,11 @@
-//! Stateful fuzzing of leads, a store that loses answers, and daemons that pause and restart:
-//! no engine ever takes an order under a lower fencing number than one it took before.
+//! Stateful fuzzing of lead elections with a store that loses answers and daemons that pause and restart.
+//! No engine may take an order with a lower fencing number than one that it took before.
 
 use sorrellock_core::clock::ManualClock;
 use sorrellock_core::id::{Fence, Revision};
 use sorrellock_core::process::orders::{
-    FRESH, FenceGuard, LeadAction, LeadElection, LeadRecord, PutResult, REREAD, SETTLE,
+    FIRST_ORDER_DELAY, FenceGuard, LEAD_LEASE, LeadAction, LeadElection, LeadRecord, PutResult,
+    READ_INTERVAL,
 };
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -15,13 +16,13 @@
 const SCHEDULES: u64 = 300;
 const LONG_SCHEDULES: u64 = 50_000;
 
-/// The store: one object.
+/// A store with one object.
 #[derive(Default)]
 struct Store {
     revision: Revision,
     object: Option<(LeadRecord, Revision)>,
-    /// What the object was before, for reads from an old copy.
-    old: Vec<Option<(LeadRecord, Revision)>>,
+    /// Earlier states of the object, for reads from a stale copy.
+    history: Vec<Option<(LeadRecord, Revision)>>,
 }
 
 impl Store {
@@ -34,30 +35,30 @@
             return PutResult::Conflict(self.version());
         }
         self.revision += 1;
-        self.old.push(self.object);
+        self.history.push(self.object);
         self.object = Some((record, self.revision));
         PutResult::Written(self.revision)
     }
 }
 
-/// What a daemon waits for.
-enum Waiting {
-    Nothing,
-    ToRead,
-    ReadAnswer(Option<LeadRecord>, Revision),
-    ToPut(Revision),
-    PutAnswer(PutResult),
+/// State of a daemon's store call.
+enum StoreCall {
+    Idle,
+    ReadSent,
+    ReadDone(Option<LeadRecord>, Revision),
+    PutSent(Revision),
+    PutDone(PutResult),
 }
 
 struct Daemon {
     election: LeadElection<ManualClock>,
-    waiting: Waiting,
+    call: StoreCall,
 }
 
-/// A guard before an engine that checks nothing, and what the engine took.
-struct Guarded {
+/// An engine that checks nothing itself, with its guard and the orders that it took.
+struct GuardedEngine {
     guard: FenceGuard,
-    /// A read that is under way, with what it will tell.
+    /// The version that the read in progress will return, if there is one.
     reading: Option<Revision>,
     taken: Vec<Fence>,
 }
@@ -67,10 +68,10 @@
     random: Random,
     store: Store,
     daemons: Vec<Daemon>,
-    guards: Vec<Guarded>,
+    guards: Vec<GuardedEngine>,
     orders: VecDeque<(usize, Fence)>,
-    /// Whether calls of the store get lost, and reads come from old copies.
-    lossy: bool,
+    /// Whether store calls get lost and reads come from stale copies.
+    is_lossy: bool,
 }
 
 impl World {
@@ -78,16 +79,17 @@
         let clock = ManualClock::new();
         let daemon = |number: usize| Daemon {
             election: LeadElection::new(clock.clone(), number as u64 + 1),
-            waiting: Waiting::Nothing,
+            call: StoreCall::Idle,
         };
-        let guarded = |_| Guarded { guard: FenceGuard::new(), reading: None, taken: Vec::new() };
+        let guarded =
+            |_| GuardedEngine { guard: FenceGuard::new(), reading: None, taken: Vec::new() };
         World {
             random: Random(seed),
             store: Store::default(),
             daemons: (0..DAEMONS).map(daemon).collect(),
             guards: (0..GUARDS).map(guarded).collect(),
             orders: VecDeque::new(),
-            lossy: true,
+            is_lossy: true,
             clock,
         }
     }
@@ -98,8 +100,8 @@
         match self.random.below(12) {
             0 => self.clock.advance(Duration::from_millis(700)),
             1 => {
-                let named = self.random.below(2) == 0;
-                self.daemons[daemon].election.on_named(named);
+                let is_candidate = self.random.below(2) == 0;
+                self.daemons[daemon].election.on_named(is_candidate);
             }
             2 if self.random.below(4) == 0 => {
                 self.guards[guard].guard = FenceGuard::new();
@@ -112,8 +114,8 @@
         }
     }
 
-    /// Begins a guard's read, or ends one that began a while ago. Guards read by a put that clashes,
-    /// so never from an old copy.
+    /// Starts a guard's read, or completes the one in progress. Guards read the version from the conflict
+    /// of a put, so never from a stale copy.
     fn read_at(&mut self, guard: usize) {
         let guarded = &mut self.guards[guard];
         match guarded.reading.take() {
@@ -122,45 +124,45 @@
         }
     }
 
-    /// What a read finds: the object, or what it was once.
+    /// Returns what a read finds: the object, or an earlier state of it.
     fn read(&mut self) -> (Option<LeadRecord>, Revision) {
         let found = match self.random.below(6) {
-            0 if self.lossy && !self.store.old.is_empty() => {
-                self.store.old[self.random.below(self.store.old.len())]
+            0 if self.is_lossy && !self.store.history.is_empty() => {
+                self.store.history[self.random.below(self.store.history.len())]
             }
             _ => self.store.object,
         };
         (found.map(|(record, _)| record), found.map_or(0, |(_, version)| version))
     }
 
-    /// One step of a daemon between the store and its election; a daemon not chosen is paused.
+    /// Advances a daemon's store call or election by one step. Daemons that aren't chosen act as paused.
     fn advance_daemon(&mut self, index: usize) {
-        let lost = self.random.below(5) == 0 && self.lossy;
+        let lost = self.random.below(5) == 0 && self.is_lossy;
         let (found, version) = self.read();
         let daemon = &mut self.daemons[index];
         let record = LeadRecord { lead: index as u64 + 1 };
-        daemon.waiting = match std::mem::replace(&mut daemon.waiting, Waiting::Nothing) {
-            Waiting::Nothing => match daemon.election.next() {
-                LeadAction::Wait(_) => Waiting::Nothing,
-                LeadAction::Read => Waiting::ToRead,
-                LeadAction::Put { version } => Waiting::ToPut(version),
+        daemon.call = match std::mem::replace(&mut daemon.call, StoreCall::Idle) {
+            StoreCall::Idle => match daemon.election.next() {
+                LeadAction::Wait(_) => StoreCall::Idle,
+                LeadAction::Read => StoreCall::ReadSent,
+                LeadAction::Put { version } => StoreCall::PutSent(version),
             },
-            Waiting::ToRead if lost => {
+            StoreCall::ReadSent if lost => {
                 daemon.election.on_read_failed();
-                Waiting::Nothing
+                StoreCall::Idle
             }
-            Waiting::ToRead => Waiting::ReadAnswer(found, version),
-            Waiting::ReadAnswer(record, version) => {
+            StoreCall::ReadSent => StoreCall::ReadDone(found, version),
+            StoreCall::ReadDone(record, version) => {
                 daemon.election.on_read(record, version);
-                Waiting::Nothing
+                StoreCall::Idle
             }
-            Waiting::ToPut(version) => {
+            StoreCall::PutSent(version) => {
                 let result = self.store.put(record, version);
-                Waiting::PutAnswer(if lost { PutResult::Unclear } else { result })
+                StoreCall::PutDone(if lost { PutResult::Unclear } else { result })
             }
-            Waiting::PutAnswer(result) => {
+            StoreCall::PutDone(result) => {
                 daemon.election.on_put(result);
-                Waiting::Nothing
+                StoreCall::Idle
             }
         };
     }
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Delivers an order, in any order, perhaps twice.
+    /// Delivers a random pending order, and may keep it for another delivery.
     fn deliver(&mut self) {
         if self.orders.is_empty() {
             return;
@@ -203,22 +205,22 @@
         assert_eq!(fences.len(), leads, "two leads under one fencing number");
     }
 
-    /// All is well again: one daemon is named, and nothing is lost.
-    fn heal(&mut self) {
+    /// Ends all faults: one daemon is the candidate, and no calls are lost. Then runs until an election is over.
+    fn end_faults(&mut self) {
         for (index, daemon) in self.daemons.iter_mut().enumerate() {
             daemon.election.on_named(index == 0);
         }
         self.random = Random(u64::MAX / 3);
-        self.lossy = false;
+        self.is_lossy = false;
         for _ in 0..40 {
-            self.clock.advance(REREAD / 4);
+            self.clock.advance(READ_INTERVAL / 4);
             (0..DAEMONS).for_each(|daemon| self.advance_daemon(daemon));
         }
     }
 }
 
 #[test]
-fn no_engine_takes_an_order_of_an_old_lead() {
+fn no_engine_takes_an_order_of_a_superseded_lead() {
     let schedules = match std::env::var_os("SORRELLOCK_FUZZ_LONG") {
         Some(_) => LONG_SCHEDULES,
         None => SCHEDULES,
@@ -232,7 +234,7 @@
             world.step();
             world.check();
         }
-        world.heal();
+        world.end_faults();
 
         let leads = world.daemons.iter().filter(|daemon| daemon.election.fence().is_some()).count();
         assert_eq!(leads, 1, "seed {seed}: one lead once all is well");
@@ -242,7 +244,7 @@
 }
 
 #[test]
-fn a_guard_refuses_all_before_it_has_read() {
+fn a_guard_refuses_all_orders_before_its_first_read() {
     let mut guard = FenceGuard::new();
 
     let before = guard.admit(7);
@@ -254,7 +256,7 @@
 }
 
 #[test]
-fn a_read_from_an_old_copy_takes_no_lead_back() {
+fn a_stale_read_does_not_restore_a_lost_lead() {
     let mut election = LeadElection::new(ManualClock::new(), 1);
     election.on_named(true);
     election.on_read(Some(LeadRecord { lead: 2 }), 9);
@@ -264,7 +266,7 @@
     assert_eq!(election.fence(), None);
 }
 
-fn lead(version: Revision) -> LeadElection<ManualClock> {
+fn candidate(version: Revision) -> LeadElection<ManualClock> {
     let mut election = LeadElection::new(ManualClock::new(), 1);
     election.on_named(true);
     election.on_read(Some(LeadRecord { lead: 2 }), version);
@@ -272,8 +274,8 @@
 }
 
 #[test]
-fn a_clash_is_read_anew_at_once_and_not_from_an_old_copy() {
-    let mut election = lead(4);
+fn a_conflict_causes_an_immediate_read_that_ignores_stale_copies() {
+    let mut election = candidate(4);
 
     let put = election.next();
     election.on_put(PutResult::Conflict(9));
@@ -286,8 +288,8 @@
 }
 
 #[test]
-fn a_lost_answer_is_settled_by_reading_at_once() {
-    let mut election = lead(4);
+fn an_unclear_put_causes_an_immediate_read() {
+    let mut election = candidate(4);
 
     election.on_put(PutResult::Unclear);
     let after = election.next();
@@ -298,8 +300,8 @@
 }
 
 #[test]
-fn a_deleted_object_is_made_anew() {
-    let mut election = lead(4);
+fn a_deleted_object_is_created_again() {
+    let mut election = candidate(4);
 
     election.on_put(PutResult::Conflict(0));
     election.on_read(None, 0);
@@ -308,7 +310,7 @@
 }
 
 #[test]
-fn a_late_read_takes_no_number_back() {
+fn a_late_read_does_not_lower_the_fencing_number() {
     let mut guard = FenceGuard::new();
     guard.on_read(5);
     guard.admit(8).unwrap();
@@ -319,8 +321,8 @@
 }
 
 #[test]
-fn who_is_no_longer_named_gives_no_orders() {
-    let mut election = lead(4);
+fn a_daemon_that_is_no_candidate_gives_no_orders() {
+    let mut election = candidate(4);
     election.on_put(PutResult::Written(5));
 
     let before = election.fence();
@@ -330,7 +332,7 @@
 }
 
 #[test]
-fn a_lead_gives_orders_once_it_has_settled_and_while_it_reaches_the_store() {
+fn a_lead_gives_orders_after_the_first_order_delay_and_while_its_lease_lasts() {
     let clock = ManualClock::new();
     let mut election = LeadElection::new(clock.clone(), 1);
     election.on_named(true);
@@ -338,15 +340,15 @@
     election.on_put(PutResult::Written(3));
 
     let at_once = election.order_fence();
-    clock.advance(SETTLE);
-    let settled = election.order_fence();
-    clock.advance(REREAD);
+    clock.advance(FIRST_ORDER_DELAY);
+    let after_delay = election.order_fence();
+    clock.advance(READ_INTERVAL);
     election.on_read(Some(LeadRecord { lead: 1 }), 3);
     let confirmed = election.order_fence();
-    clock.advance(FRESH + Duration::from_millis(1));
-    let cut_off = election.order_fence();
+    clock.advance(LEAD_LEASE + Duration::from_millis(1));
+    let expired = election.order_fence();
 
-    assert_eq!((at_once, settled, confirmed, cut_off), (None, Some(3), Some(3), None));
+    assert_eq!((at_once, after_delay, confirmed, expired), (None, Some(3), Some(3), None));
 }
 
 struct Random(u64);
