--- a/crates/core/src/process/orders/lead_election.rs
+++ b/crates/core/src/process/orders/lead_election.rs
@@ -92,7 +92,7 @@
     }
 
     /// Sets whether rendezvous hashing selects this daemon as candidate.
-    pub fn on_named(&mut self, is_candidate: bool) {
+    pub fn set_candidate(&mut self, is_candidate: bool) {
         if is_candidate && !self.is_candidate {
             self.next_read = None;
         }
--- a/crates/core/tests/lead_election.rs
+++ b/crates/core/tests/lead_election.rs
@@ -14,7 +14,7 @@
 /// Returns the election of a daemon that has just read that it is lead.
 fn lead(clock: &ManualClock) -> LeadElection<ManualClock> {
     let mut election = LeadElection::new(clock.clone(), ME);
-    election.on_named(true);
+    election.set_candidate(true);
     election.on_read(Some(LeadRecord { lead: ME }), VERSION);
     election
 }
--- a/crates/core/tests/orders_fuzz.rs
+++ b/crates/core/tests/orders_fuzz.rs
@@ -101,7 +101,7 @@
             0 => self.clock.advance(Duration::from_millis(700)),
             1 => {
                 let is_candidate = self.random.below(2) == 0;
-                self.daemons[daemon].election.on_named(is_candidate);
+                self.daemons[daemon].election.set_candidate(is_candidate);
             }
             2 if self.random.below(4) == 0 => {
                 self.guards[guard].guard = FenceGuard::new();
@@ -208,7 +208,7 @@
     /// Ends all faults: one daemon is the candidate, and no calls are lost. Then runs until an election is over.
     fn end_faults(&mut self) {
         for (index, daemon) in self.daemons.iter_mut().enumerate() {
-            daemon.election.on_named(index == 0);
+            daemon.election.set_candidate(index == 0);
         }
         self.random = Random(u64::MAX / 3);
         self.is_lossy = false;
@@ -258,7 +258,7 @@
 #[test]
 fn a_stale_read_does_not_restore_a_lost_lead() {
     let mut election = LeadElection::new(ManualClock::new(), 1);
-    election.on_named(true);
+    election.set_candidate(true);
     election.on_read(Some(LeadRecord { lead: 2 }), 9);
 
     election.on_read(Some(LeadRecord { lead: 1 }), 5);
@@ -268,7 +268,7 @@
 
 fn candidate(version: Revision) -> LeadElection<ManualClock> {
     let mut election = LeadElection::new(ManualClock::new(), 1);
-    election.on_named(true);
+    election.set_candidate(true);
     election.on_read(Some(LeadRecord { lead: 2 }), version);
     election
 }
@@ -326,7 +326,7 @@
     election.on_put(PutResult::Written(5));
 
     let before = election.fence();
-    election.on_named(false);
+    election.set_candidate(false);
 
     assert_eq!((before, election.fence()), (Some(5), None));
 }
@@ -335,7 +335,7 @@
 fn a_lead_gives_orders_after_the_first_order_delay_and_while_its_lease_lasts() {
     let clock = ManualClock::new();
     let mut election = LeadElection::new(clock.clone(), 1);
-    election.on_named(true);
+    election.set_candidate(true);
     election.on_read(None, 0);
     election.on_put(PutResult::Written(3));
 
--- a/crates/daemon/src/process/leads/model_lead.rs
+++ b/crates/daemon/src/process/leads/model_lead.rs
@@ -38,7 +38,7 @@
 
     /// Does what the election asks for now, and tells what changed.
     pub(super) fn drive<S: ObjectStore>(&mut self, store: &S, named: bool) -> Option<LeadChange> {
-        self.election.on_named(named);
+        self.election.set_candidate(named);
         for _ in 0..MAX_CALLS {
             match self.election.next() {
                 LeadAction::Wait(_) => break,
