--- a/crates/gateway/src/request/request_handler.rs
+++ b/crates/gateway/src/request/request_handler.rs
@@ -52,7 +52,7 @@
     let route = matched.route.clone();
     let rank = matched.workspace.and_then(|workspace| workspace.priority);
     let workspace = matched.workspace.map(|workspace| workspace.name.clone());
-    let caller_deadline = arrived + head.patience.unwrap_or(DEFAULT_CALLER_TIMEOUT);
+    let caller_deadline = arrived + head.wait_limit.unwrap_or(DEFAULT_CALLER_TIMEOUT);
     let deadline = caller_deadline.min(arrived + route.timeout);
     let (parts, body) = req.into_parts();
     let max_bytes = routes.cfg().limits.max_body_bytes;
