--- a/crates/gateway/src/request/estimate.rs
+++ b/crates/gateway/src/request/estimate.rs
@@ -17,7 +17,7 @@
 /// Returns the expected length of the answer in tokens.
 fn expected_answer_tokens(call: &Call) -> f64 {
     let Some(tokens) = call.head.tokens else { return 1.0 };
-    let max_tokens = f64::from(tokens.most_output);
+    let max_tokens = f64::from(tokens.max_output);
     call.head.length_hint.map_or(max_tokens, |hint| f64::from(hint).min(max_tokens))
 }
 
--- a/crates/gateway/src/request/request_handler.rs
+++ b/crates/gateway/src/request/request_handler.rs
@@ -193,7 +193,7 @@
 fn log_admitted(call: &Call, routes: &RouteTable) {
     let (version, rank) = (routes.version(), call.rank);
     let left_ms = call.time_left().as_millis() as u64;
-    let tokens = call.head.tokens.map_or(0, |tokens| tokens.prompt + tokens.most_output);
+    let tokens = call.head.tokens.map_or(0, |tokens| tokens.prompt + tokens.max_output);
     info!("request taken", kv: {
         request = call.id(), route = call.route.name.as_str(), service = call.service.as_str(),
         workspace = call.workspace.as_deref().unwrap_or(""), rank, left_ms, tokens,
