--- a/crates/gateway/src/process/peers/peers.rs
+++ b/crates/gateway/src/process/peers/peers.rs
@@ -199,7 +199,7 @@
     fn on_message(&self, message: PeerMessage, from: SocketAddr) {
         let gateway = &self.gateway;
         let now = Instant::now();
-        gateway.eras.hear(message.store_era, &message.instance);
+        gateway.eras.observe(message.store_era, &message.instance);
         let mut fleet_state = gateway.fleet_state.borrow_mut();
         let before = fleet_state.peers.get(&message.instance);
         let is_old = before.is_some_and(|peer| {
