--- a/crates/gateway/src/process/store/eras.rs
+++ b/crates/gateway/src/process/store/eras.rs
@@ -21,22 +21,22 @@
     let mut before = 0;
     // `gateway` owns the sender, so this loop doesn't end.
     while eras.changed().await.is_ok() {
-        let KnownEra { era, told_by } = eras.borrow_and_update().clone();
+        let KnownEra { era, reported_by } = eras.borrow_and_update().clone();
         let known = gateway.knowledge.borrow().endpoints_at();
         // The first answer in an era may be a list of the endpoints, which is applied before this task runs. So it is the first
         // era of this process even if endpoints are known, as long as they are known in `era`.
         let is_first = before == 0 && (known == Revision::default() || known.era >= era);
         if is_first {
-            info!("era of the store is known", kv: { era, told_by = told_by.as_str() });
+            info!("era of the store is known", kv: { era, told_by = reported_by.as_str() });
         } else {
-            gateway.on_era(era, before, &told_by);
+            gateway.on_era(era, before, &reported_by);
         }
         before = era;
     }
 }
 
 impl Gateway {
-    fn on_era(&self, era: StoreEra, before: StoreEra, told_by: &str) {
+    fn on_era(&self, era: StoreEra, before: StoreEra, reported_by: &str) {
         let now = Instant::now();
         let ages = [Kind::Configuration, Kind::Endpoints];
         let [configuration_ms, endpoints_ms] =
@@ -45,7 +45,7 @@
         self.era_began.set(Some(now));
         self.counters.add(Count::StoreEras);
         warn!("era of the store began", kv: {
-            era, before, told_by, configuration_ms:?, endpoints_ms:?
+            era, before, told_by = reported_by, configuration_ms:?, endpoints_ms:?
         });
     }
 
