--- a/crates/gateway/src/process/store/endpoint_check.rs
+++ b/crates/gateway/src/process/store/endpoint_check.rs
@@ -225,7 +225,7 @@
         return Err(Unhealthy::OtherIncarnation);
     }
     match answer.health {
-        Health::Well => Ok(()),
+        Health::Healthy => Ok(()),
         Health::Unknown => Err(Unhealthy::Unknown),
         Health::Leaving | Health::Replaced => Err(Unhealthy::Leaves),
     }
