--- a/crates/json/src/fields.rs
+++ b/crates/json/src/fields.rs
@@ -1,26 +1,27 @@
-//! The fields of an object, each read by itself.
+//! Fields of an object, each parsed separately.
 
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
 
-/// The fields of an object, as they are written.
+/// Fields of an object as raw JSON.
 pub struct Fields<'a> {
     fields: BTreeMap<String, &'a RawValue>,
 }
 
-/// A value that can't be used, as it is written.
+/// Raw JSON of a value that has the wrong type or fails validation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Found<'a>(pub &'a str);
 
 impl<'a> Fields<'a> {
-    /// Reads an object, or tells what is wrong with it.
+    /// Parses an object. The error is the parser's message.
     pub fn read(text: &'a str) -> Result<Fields<'a>, String> {
         let fields = serde_json::from_str(text).map_err(|err| err.to_string())?;
         Ok(Fields { fields })
     }
 
-    /// A field's value: none if there is no such field, and what was found if it can't be used.
+    /// Parses a field's value. Returns `None` if the field is absent, and an error with the raw value if it has the
+    /// wrong type or fails `is_valid`.
     pub fn get<T: DeserializeOwned>(
         &self,
         field: &str,
--- a/crates/json/src/lib.rs
+++ b/crates/json/src/lib.rs
@@ -1,5 +1,5 @@
-//! Reads JSON bodies of which single elements can't be read: bytes that are no UTF-8, elements of an
-//! array that are no JSON. What is whole in such a body is read as ever.
+//! Parses JSON bodies that are damaged in places: bytes that aren't valid UTF-8, or array elements that
+//! aren't valid JSON. The intact parts of such a body are still parsed.
 
 mod array;
 mod fields;
--- a/crates/json/src/text.rs
+++ b/crates/json/src/text.rs
@@ -1,47 +1,47 @@
-//! Bytes as text, with a mark where they are no UTF-8.
+//! Decodes bytes as text, with a marker in place of invalid UTF-8.
 
 use std::borrow::Cow;
 use std::collections::HashSet;
 use std::ops::RangeInclusive;
 
-/// Characters for private use, one of which marks bytes that are no UTF-8. There are so many that a
-/// body which holds them all is larger than any that the store writes whole.
-const MARKS: RangeInclusive<char> = '\u{f0000}'..='\u{10fffd}';
-/// How many bytes each of them takes.
-const MARK_BYTES: usize = 4;
+/// Private-use characters, one of which is chosen to mark invalid UTF-8. There are so many that a body which
+/// holds them all is larger than any that the store writes whole.
+const MARKERS: RangeInclusive<char> = '\u{f0000}'..='\u{10fffd}';
+/// Length of each marker in UTF-8.
+const MARKER_BYTES: usize = 4;
 
-/// The text of a body. Bytes that are no UTF-8 are replaced by a mark that the rest doesn't hold.
+/// Text of a body. Invalid UTF-8 is replaced by a marker character that doesn't occur in the rest.
 pub struct Text<'a> {
     text: Cow<'a, str>,
-    mark: Option<char>,
+    marker: Option<char>,
 }
 
 impl<'a> Text<'a> {
-    /// Reads a body. None if it is no UTF-8 and holds each character that could be the mark.
+    /// Decodes a body. Returns `None` if it isn't valid UTF-8 and holds every possible marker.
     pub fn read(body: &'a [u8]) -> Option<Text<'a>> {
         if let Ok(text) = std::str::from_utf8(body) {
-            return Some(Text { text: Cow::Borrowed(text), mark: None });
+            return Some(Text { text: Cow::Borrowed(text), marker: None });
         }
         let parts = valid_parts(body);
-        let held = held_marks(&parts);
-        let mut marks = MARKS;
-        let mark = marks.find(|mark| !held.contains(mark))?;
-        let text = parts.join(mark.encode_utf8(&mut [0; MARK_BYTES]));
-        Some(Text { text: Cow::Owned(text), mark: Some(mark) })
+        let used = used_markers(&parts);
+        let mut markers = MARKERS;
+        let marker = markers.find(|marker| !used.contains(marker))?;
+        let text = parts.join(marker.encode_utf8(&mut [0; MARKER_BYTES]));
+        Some(Text { text: Cow::Owned(text), marker: Some(marker) })
     }
 
-    /// All of it.
+    /// Returns the whole text, with markers.
     pub fn as_str(&self) -> &str {
         &self.text
     }
 
-    /// Whether a part of it held bytes that are no UTF-8.
+    /// Whether `part` of this text held bytes that aren't valid UTF-8.
     pub fn is_damaged(&self, part: &str) -> bool {
-        self.mark.is_some_and(|mark| part.contains(mark))
+        self.marker.is_some_and(|marker| part.contains(marker))
     }
 }
 
-/// The parts of a body between bytes that are no UTF-8; the first and the last may be empty.
+/// Splits a body at invalid UTF-8 into its valid parts; the first and the last may be empty.
 fn valid_parts(body: &[u8]) -> Vec<&str> {
     let mut parts = Vec::new();
     let mut rest = body;
@@ -55,7 +55,7 @@
         };
         let (valid, after) = rest.split_at(err.valid_up_to());
         let valid = std::str::from_utf8(valid).unwrap_or_default();
-        // Bad bytes in a row need one mark.
+        // Consecutive invalid bytes share one marker.
         if !valid.is_empty() || parts.is_empty() {
             parts.push(valid);
         }
@@ -63,7 +63,7 @@
     }
 }
 
-fn held_marks(parts: &[&str]) -> HashSet<char> {
-    let with_others = parts.iter().filter(|part| !part.is_ascii());
-    with_others.flat_map(|part| part.chars()).filter(|c| MARKS.contains(c)).collect()
+fn used_markers(parts: &[&str]) -> HashSet<char> {
+    let non_ascii = parts.iter().filter(|part| !part.is_ascii());
+    non_ascii.flat_map(|part| part.chars()).filter(|c| MARKERS.contains(c)).collect()
 }
--- a/crates/json/tests/mending.rs
+++ b/crates/json/tests/malformed_bodies.rs
@@ -1,13 +1,13 @@
-//! Bodies of which single elements can't be read.
+//! Bodies with broken elements or invalid UTF-8.
 
 use serde_json::{Value, json};
 use sorrellock_json::{Element, Text, split_array};
 
-fn page(written: &[&str]) -> String {
+fn page_with(written: &[&str]) -> String {
     format!("{{\"items\":[{}],\"at\":7}}", written.join(","))
 }
 
-/// The elements of a page: whole ones by their number, broken ones by their text.
+/// Splits a page into its elements: the value of `n` for whole ones, the raw text of broken ones.
 fn elements(text: &str) -> Vec<String> {
     let (elements, body) = split_array(text, "items").expect("there is such an array");
     let body: Value = serde_json::from_str(&body).expect("the rest is JSON");
@@ -25,12 +25,12 @@
 #[test]
 fn the_elements_of_a_whole_array_are_as_they_are_written() {
     let nested = "{\"n\":2,\"a\":[{\"n\":3},{\"n\":4}]}";
-    let text = page(&["{\"n\":1}", nested]);
+    let text = page_with(&["{\"n\":1}", nested]);
 
     let (found, _) = split_array(&text, "items").expect("there is such an array");
 
     assert_eq!(found, [Element::Whole("{\"n\":1}"), Element::Whole(nested)]);
-    assert_eq!(elements(&page(&[])), [""; 0]);
+    assert_eq!(elements(&page_with(&[])), [""; 0]);
 }
 
 #[test]
@@ -41,7 +41,7 @@
             let mut written = vec!["{\"n\":1}", "{\"n\":2}"];
             written.insert(at, broken);
 
-            let found = elements(&page(&written));
+            let found = elements(&page_with(&written));
 
             let mut expected = vec!["1", "2"];
             expected.insert(at, broken);
@@ -52,7 +52,7 @@
 
 #[test]
 fn several_broken_elements_in_a_row_stay_apart() {
-    let text = page(&["{\"n\":1}", "{\"n\":[", "{\"n\":{", "{\"n\":2}", "{\"n\":\""]);
+    let text = page_with(&["{\"n\":1}", "{\"n\":[", "{\"n\":{", "{\"n\":2}", "{\"n\":\""]);
 
     let found = elements(&text);
 
@@ -69,8 +69,8 @@
 }
 
 #[test]
-fn many_begins_that_lead_nowhere_end_soon() {
-    let text = page(&["{\"n\":1}", &"{\"n\":[,".repeat(100_000), "{\"n\":2}"]);
+fn many_broken_elements_are_split_quickly() {
+    let text = page_with(&["{\"n\":1}", &"{\"n\":[,".repeat(100_000), "{\"n\":2}"]);
 
     let found = elements(&text);
 
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn text_without_the_array_is_given_up() {
+fn split_array_returns_none_without_an_array_of_objects() {
     for text in ["", "{", "[]", "{\"items\":7}", "{\"items\":[", "{\"items\":[7]}"] {
         assert_eq!(split_array(text, "items"), None, "{text}");
     }
