--- a/crates/json/src/fields.rs
+++ b/crates/json/src/fields.rs
@@ -11,7 +11,7 @@
 
 /// Raw JSON of a value that has the wrong type or fails validation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Found<'a>(pub &'a str);
+pub struct InvalidValue<'a>(pub &'a str);
 
 impl<'a> Fields<'a> {
     /// Parses an object. The error is the parser's message.
@@ -26,9 +26,9 @@
         &self,
         field: &str,
         is_valid: impl Fn(&T) -> bool,
-    ) -> Result<Option<T>, Found<'a>> {
+    ) -> Result<Option<T>, InvalidValue<'a>> {
         let Some(raw) = self.fields.get(field) else { return Ok(None) };
         let value = serde_json::from_str(raw.get()).ok().filter(is_valid);
-        value.map(Some).ok_or(Found(raw.get()))
+        value.map(Some).ok_or(InvalidValue(raw.get()))
     }
 }
--- a/crates/json/src/lib.rs
+++ b/crates/json/src/lib.rs
@@ -6,5 +6,5 @@
 mod text;
 
 pub use array::{Element, find_value, split_array};
-pub use fields::{Fields, Found};
+pub use fields::{Fields, InvalidValue};
 pub use text::Text;
