--- a/crates/daemon/src/beside/mod.rs
+++ b/crates/daemon/src/beside/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon beside endpoints: the only process that gives them work.
+//! The daemon that runs next to endpoints. No other process sends work to them.
 
 pub mod process;
 pub mod request;
--- a/crates/daemon/src/beside/process/beside.rs
+++ b/crates/daemon/src/beside/process/beside.rs
@@ -1,9 +1,9 @@
-//! The daemon beside endpoints, from start to end.
+//! Start, drain and stop of the daemon that runs next to endpoints.
 
 use crate::beside::process::beside_handler::BesideLedger;
 use crate::beside::process::engine_runner::EngineBounds;
 use crate::beside::process::{
-    BesideHandler, BesideSettings, EngineRunner, OrderDesk, Outbox, ServiceRunner, Starts,
+    BesideHandler, BesideSettings, EngineRunner, OrderDesk, Outbox, ServiceRunner, StartRegistry,
 };
 use crate::process::leads::LeadDesk;
 use crate::process::ledger::{LEDGER_STORE_TIMEOUT, LedgerHolders};
@@ -28,14 +28,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often an engine is asked for what it holds until it answers.
+/// Poll interval for an engine that does not answer yet at start.
 const ENGINE_RETRY: Duration = Duration::from_millis(100);
-/// How long a start waits for its engines.
+/// Max time that the start waits for an engine to answer.
 const ENGINE_WAIT: Duration = Duration::from_secs(30);
-/// How often a drain looks whether the work has ended.
+/// Poll interval for open work during a drain.
 const DRAIN_POLL: Duration = Duration::from_millis(5);
 
-/// A running daemon beside endpoints.
+/// A running daemon next to endpoints.
 pub struct Beside {
     handler: Arc<BesideHandler<AnyLink, HttpEngine>>,
     link: Arc<AnyLink>,
@@ -46,7 +46,7 @@
 }
 
 impl Beside {
-    /// Starts the daemon; it waits for its engines to answer.
+    /// Starts the daemon. Waits until its engines answer.
     pub fn start(settings: BesideSettings) -> Result<Beside> {
         let spread = match settings.platform {
             Some(_) => SpreadSettings::new(),
@@ -56,7 +56,7 @@
         let (parts, unserved) =
             DaemonParts::listen(role, &settings.place, settings.link, settings.link_kind, spread)?;
         let outbox = Outbox::new(parts.link.clone(), parts.counters.clone());
-        let starts = Arc::new(Starts::new(outbox.clone()));
+        let starts = Arc::new(StartRegistry::new(outbox.clone()));
         let kept = KeptBudget::new(settings.daemon_replay_budget, settings.replay_budget);
         let engines = start_engines(&settings, &kept, &outbox)?;
         let store = settings.platform.map(HttpObjectStore::new);
@@ -86,49 +86,50 @@
             let list = HttpInstanceList::new(platform).with_timeout(LIST_LIMIT);
             read_list(agent, list, false);
         }
-        send_metrics(counters.clone(), settings.metrics).wrap_err("start of the metrics")?;
+        send_metrics(counters.clone(), settings.metrics)
+            .wrap_err("failed to start sending metrics")?;
         let mut beside =
             Beside { handler, link, counters, journal, linger: settings.linger, operators: None };
         if let Some(addr) = settings.operators {
             let state = Arc::new(beside.state());
             let server = listen_for_operators(addr, state);
-            beside.operators = Some(server.wrap_err("start of the operators' listener")?);
+            beside.operators = Some(server.wrap_err("failed to start the operators' listener")?);
         }
-        spdlog::info!("beside {} of {} serves", me.addr, settings.place);
+        spdlog::info!("daemon {} ready in {}", me.addr, settings.place);
         Ok(beside)
     }
 
-    /// This process among its peers.
+    /// Returns the address and incarnation by which peers know this process.
     pub fn peer(&self) -> Peer {
         self.handler.me
     }
 
-    /// Where operators ask, if they may.
+    /// Returns the address of the operators' listener, if there is one.
     pub fn operators(&self) -> Option<SocketAddr> {
         self.operators.as_ref().map(Server::addr)
     }
 
-    /// The counters.
+    /// Returns the value of a counter.
     pub fn counter(&self, count: Count) -> u64 {
         self.counters.get(count)
     }
 
-    /// The configuration in force.
+    /// Returns the agent that holds the configuration in force.
     pub fn config(&self) -> &Arc<ConfigAgent> {
         &self.handler.config
     }
 
-    /// How many requests and calls are open.
+    /// Returns the number of open requests and calls.
     pub fn open_work(&self) -> usize {
         self.handler.open_work()
     }
 
-    /// Bytes of output kept for replay.
+    /// Returns the bytes of output kept for replay.
     pub fn kept_bytes(&self) -> usize {
         self.handler.kept.used()
     }
 
-    /// What tells the state of this daemon.
+    /// Returns the source of state dumps of this daemon.
     pub fn state(&self) -> BesideState {
         BesideState {
             handler: self.handler.clone(),
@@ -138,14 +139,16 @@
         }
     }
 
-    /// Takes no new work, and returns when what runs has ended and is told, or false after `wait`. An answer may wait for its entry to
-    /// read: ended calls are no open work any more.
+    /// Refuses new work and waits until open work has ended and its results are sent. Returns false if that takes
+    /// longer than `wait`. Unsent messages are checked apart from open work: a call that has ended is no longer open, but
+    /// its answer may still wait for the entry to read.
     pub fn drain(&self, wait: Duration) -> bool {
         self.handler.leaving.store(true, Ordering::Release);
         self.handler.engines.values().for_each(|engine| engine.leave());
         self.handler.agent.leave();
-        let (stay, end) = (Instant::now() + self.linger, Instant::now() + wait);
-        while self.handler.open_work() > 0 || self.link.has_unsent() || Instant::now() < stay {
+        let (linger_end, end) = (Instant::now() + self.linger, Instant::now() + wait);
+        while self.handler.open_work() > 0 || self.link.has_unsent() || Instant::now() < linger_end
+        {
             if Instant::now() > end {
                 return false;
             }
@@ -155,7 +158,7 @@
         true
     }
 
-    /// Ends at once, as a killed process does: links close, work is lost.
+    /// Stops at once, like a killed process: links close, open work is lost.
     pub fn stop(&self) {
         self.handler.config.stop();
         self.handler.leads.iter().for_each(|leads| leads.stop());
@@ -164,7 +167,7 @@
     }
 }
 
-/// Tells the state of a daemon beside endpoints.
+/// Source of state dumps of a daemon.
 pub struct BesideState {
     handler: Arc<BesideHandler<AnyLink, HttpEngine>>,
     link: Arc<AnyLink>,
@@ -207,7 +210,7 @@
     for addr in &settings.engines {
         let engine = HttpEngine::new(*addr);
         let info = wait_for_engine(&engine)
-            .wrap_err_with(|| format!("asking engine {addr} what it holds"))?;
+            .wrap_err_with(|| format!("failed to read model and layers from engine {addr}"))?;
         let id = info.endpoint.clone();
         engines.insert(id, EngineRunner::start(engine, info, bounds.clone(), outbox.clone()));
     }
@@ -225,7 +228,7 @@
     }
 }
 
-/// A daemon that knows the platform keeps the shards of the ledger that it is named for.
+/// Creates the holder of the ledger shards that are assigned to this daemon, if the platform is known.
 fn new_ledger(
     me: Peer,
     settings: &BesideSettings,
@@ -238,7 +241,7 @@
 
 fn start_services(
     settings: &BesideSettings,
-    starts: &Arc<Starts<AnyLink>>,
+    starts: &Arc<StartRegistry<AnyLink>>,
 ) -> HashMap<String, ServiceRunner<AnyLink>> {
     let start = |endpoint: &ServiceEndpoint| {
         let service = HttpService::new(endpoint.addr);
--- a/crates/daemon/src/beside/process/beside_handler.rs
+++ b/crates/daemon/src/beside/process/beside_handler.rs
@@ -1,6 +1,6 @@
-//! Hands messages from other processes to the endpoint that they are for.
+//! Dispatches messages from other processes to the endpoints of this daemon.
 
-use crate::beside::process::{EngineRunner, OrderDesk, Outbox, ServiceRunner, Starts};
+use crate::beside::process::{EngineRunner, OrderDesk, Outbox, ServiceRunner, StartRegistry};
 use crate::process::leads::LeadDesk;
 use crate::process::ledger::{LedgerHolders, LinkSink};
 use crate::process::{ConfigAgent, Count, FleetAgent};
@@ -20,19 +20,19 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// When to come back to a daemon that was started without the platform.
+/// Retry delay for claims at a daemon that was started without the platform.
 const NO_LEDGER_RETRY_MS: u64 = 10_000;
 
-/// The shards of the ledger that a daemon beside endpoints keeps.
+/// Ledger shards held by a daemon that runs next to endpoints.
 pub(super) type BesideLedger<L> = LedgerHolders<HttpObjectStore, LinkSink<L>>;
 
-/// The endpoints of a daemon, and what it tells of itself.
+/// Message handler of a daemon: its endpoints and its process-wide parts.
 pub struct BesideHandler<L, E> {
     pub(super) me: Peer,
     pub(super) engines: HashMap<EndpointId, Arc<EngineRunner<L, E>>>,
     pub(super) kept: Arc<KeptBudget>,
     pub(super) services: HashMap<EndpointId, ServiceRunner<L>>,
-    pub(super) starts: Arc<Starts<L>>,
+    pub(super) starts: Arc<StartRegistry<L>>,
     pub(super) ledger: Option<BesideLedger<L>>,
     pub(super) outbox: Outbox<L>,
     pub(super) leaving: AtomicBool,
@@ -43,22 +43,22 @@
 }
 
 impl<L: Link, E: Engine> BesideHandler<L, E> {
-    /// What the daemon tells of its endpoints.
+    /// Returns the endpoints that the daemon announces. Stuck engines are left out.
     pub fn endpoints(&self) -> Vec<EndpointFact> {
-        let well = self.engines.values().filter(|engine| !engine.is_stuck());
-        let engines = well.map(|engine| engine.fact());
+        let healthy = self.engines.values().filter(|engine| !engine.is_stuck());
+        let engines = healthy.map(|engine| engine.fact());
         let services = self.services.values().map(|service| service.fact());
         let mut endpoints: Vec<_> = engines.chain(services).collect();
         endpoints.sort_by(|a, b| a.id.cmp(&b.id));
         endpoints
     }
 
-    /// Whether the daemon takes no new work.
+    /// Returns whether the daemon is leaving and refuses new work.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Acquire)
     }
 
-    /// How many requests and calls are open.
+    /// Returns the number of open requests and calls.
     pub fn open_work(&self) -> usize {
         let requests: usize = self.engines.values().map(|engine| engine.open_requests()).sum();
         let calls: u32 = self.services.values().map(|service| service.open_calls()).sum();
@@ -71,18 +71,19 @@
             PipelineMessage::Token(_)
             | PipelineMessage::Trouble { .. }
             | PipelineMessage::Progress { .. } => self.outbox.counters().count(Count::LateAnswers),
-            message => self.pass_to_engines(&message),
+            message => self.dispatch_to_engines(&message),
         }
     }
 
-    /// A request may pass several engines of a daemon; each takes what is for it.
-    fn pass_to_engines(&self, message: &PipelineMessage) {
+    /// Passes a message to the engines of its request. A route may pass several engines of one daemon; each handles the
+    /// messages for its own stage.
+    fn dispatch_to_engines(&self, message: &PipelineMessage) {
         let request = message.request();
         let close =
             matches!(message, PipelineMessage::Close { .. } | PipelineMessage::AskHandover { .. });
         let mut known = false;
         for runner in self.engines.values().filter(|runner| close || runner.holds(request)) {
-            runner.take(message);
+            runner.on_message(message);
             known = true;
         }
         if !known {
@@ -112,8 +113,8 @@
     }
 
     fn on_call_request(&self, from: Peer, call: CallRequest) {
-        match self.starts.see(&call) {
-            SeenVerdict::New => self.pass_on(from, call, None),
+        match self.starts.record_call(&call) {
+            SeenVerdict::New => self.dispatch_call(from, call, None),
             SeenVerdict::Repeated => {}
             SeenVerdict::Forgotten => {
                 let detail = "whether it came before is remembered no longer".to_owned();
@@ -122,8 +123,8 @@
         }
     }
 
-    /// Passes on a call that may start, or refuses it.
-    fn pass_on(&self, from: Peer, call: CallRequest, stamp: Option<Stamp>) {
+    /// Passes a call that may start to its service, or refuses it.
+    fn dispatch_call(&self, from: Peer, call: CallRequest, stamp: Option<Stamp>) {
         let service = self.services.get(&call.endpoint);
         let refusal = match service {
             Some(service) if !self.is_leaving() => return service.call(from, call, stamp),
@@ -153,15 +154,15 @@
             },
             LedgerMessage::Run { stamp, call } => {
                 if self.starts.start(from, call.request, &stamp) {
-                    self.pass_on(from, call, Some(stamp));
+                    self.dispatch_call(from, call, Some(stamp));
                 }
             }
             LedgerMessage::Begin { owner, stamp } => {
                 self.starts.begin(from, owner, stamp, self.is_leaving());
             }
-            LedgerMessage::Ended { stamp, end } => self.starts.ended(&stamp, end),
+            LedgerMessage::Ended { stamp, end } => self.starts.on_ended(&stamp, end),
             LedgerMessage::Ask { owner, stamp, fence } => {
-                self.starts.ask(from, owner, stamp, fence);
+                self.starts.on_query(from, owner, stamp, fence);
             }
             LedgerMessage::Answer { .. }
             | LedgerMessage::End { .. }
--- a/crates/daemon/src/beside/process/call_queue.rs
+++ b/crates/daemon/src/beside/process/call_queue.rs
@@ -1,9 +1,9 @@
-//! The calls that wait for a thread, in order of priority.
+//! Priority queue of the calls that wait for a thread.
 
 use sorrellock_core::process::PriorityQueue;
 use std::sync::{Condvar, Mutex};
 
-/// A bounded queue between those who bring calls and the threads that make them.
+/// Bounded, blocking queue between the receivers of calls and the threads that make them.
 pub struct CallQueue<T> {
     state: Mutex<State<T>>,
     changed: Condvar,
@@ -15,20 +15,20 @@
 }
 
 impl<T> CallQueue<T> {
-    /// An empty queue in which at most `max` calls wait.
+    /// Creates an empty queue for at most `max` calls.
     pub fn new(max: usize) -> CallQueue<T> {
         let state = State { waiting: PriorityQueue::new(max), closed: false };
         CallQueue { state: Mutex::new(state), changed: Condvar::new() }
     }
 
-    /// Adds a call, or gives back the one for which there is no room.
+    /// Queues a call. Returns the call that does not fit, if the queue is full.
     pub fn push(&self, priority: u8, call: T) -> Option<T> {
         let refused = self.state.lock().unwrap().waiting.push(priority, call);
         self.changed.notify_one();
         refused
     }
 
-    /// Waits for the next call; none once the queue is closed and empty.
+    /// Waits for the next call. Returns `None` once the queue is closed and empty.
     pub fn pop(&self) -> Option<T> {
         let mut state = self.state.lock().unwrap();
         loop {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Lets the threads end once nothing waits.
+    /// Closes the queue: threads end once it is empty.
     pub fn close(&self) {
         self.state.lock().unwrap().closed = true;
         self.changed.notify_all();
--- a/crates/daemon/src/beside/process/engine_batches.rs
+++ b/crates/daemon/src/beside/process/engine_batches.rs
@@ -1,4 +1,4 @@
-//! The thread that gives an engine batches, and the one that watches how long they take.
+//! The thread that runs batches on an engine, and the one that detects batches that take too long.
 
 use crate::beside::process::EngineRunner;
 use crate::process::Count;
@@ -11,58 +11,58 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long one batch may take before the call is given up.
+/// Timeout of the call that runs one batch.
 const BATCH_DEADLINE: Duration = Duration::from_secs(30);
-/// How often a leaving engine offers what is open, and idle requests are looked for.
+/// Interval at which a leaving engine offers its open requests for handover, and idle requests are freed.
 const OFFER_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A batch that the engine has in hand.
-pub(super) struct InHand {
+/// The batch that the engine is running.
+pub(super) struct RunningBatch {
     watch: BatchWatch,
     tokens: usize,
-    /// Whether it takes too long; the requests were told.
+    /// Whether the batch takes too long. The entries of the requests have been notified.
     pub(super) stuck: bool,
 }
 
-/// Work of one request in a batch.
-type Work = (RequestKey, EngineWork);
+/// One request of a batch, with its work.
+type WorkItem = (RequestKey, EngineWork);
 
-/// Runs batch after batch until the runner ends.
+/// Runs batches until the runner ends.
 pub(super) fn run_batches<L: Link, E: Engine>(runner: &EngineRunner<L, E>) {
-    while let Some(works) = next_batch(runner) {
-        let works = truncate_first(runner, works);
-        if works.is_empty() {
+    while let Some(items) = next_batch(runner) {
+        let items = truncate_sessions(runner, items);
+        if items.is_empty() {
             continue;
         }
-        let batch = Batch { steps: works.iter().map(|(_, work)| engine_step(work)).collect() };
+        let batch = Batch { steps: items.iter().map(|(_, work)| engine_step(work)).collect() };
         let counters = runner.outbox.counters();
         counters.count(Count::Batches);
-        counters.add(Count::Steps, works.len() as u64);
+        counters.add(Count::Steps, items.len() as u64);
         let start = Instant::now();
         let outputs = runner.engine.run(&batch, BATCH_DEADLINE);
         let results: Vec<EngineResult> = match outputs {
             Ok(outputs) => outputs.into_iter().map(engine_result).collect(),
-            Err(err) => works.iter().map(|_| EngineResult::Failed(err.to_string())).collect(),
+            Err(err) => items.iter().map(|_| EngineResult::Failed(err.to_string())).collect(),
         };
-        finish(runner, works, results, start);
+        finish(runner, items, results, start);
     }
 }
 
-/// Tells the requests of a batch in hand when it takes too long, offers what is open while the
-/// daemon is leaving, and frees what is idle.
+/// Reports an engine as stuck when its batch takes too long, offers open requests for handover while the
+/// daemon is leaving or the engine is to load other layers, and frees idle requests.
 pub(super) fn watch_batches<L: Link, E: Engine>(runner: &EngineRunner<L, E>) {
-    let mut offered = Instant::now() - OFFER_INTERVAL;
+    let mut last_offer = Instant::now() - OFFER_INTERVAL;
     while !runner.ended.load(Ordering::Acquire) {
         thread::sleep(LOOK_INTERVAL);
         watch_batch(runner);
-        if offered.elapsed() < OFFER_INTERVAL {
+        if last_offer.elapsed() < OFFER_INTERVAL {
             continue;
         }
-        offered = Instant::now();
+        last_offer = Instant::now();
         let leaving = runner.leaving.load(Ordering::Acquire);
         runner.change(|state, out| {
             state.table.expire(Instant::now(), out);
-            if leaving || state.loads.is_some() {
+            if leaving || state.loading.is_some() {
                 state.table.on_leaving(out);
             }
         });
@@ -72,18 +72,18 @@
 fn watch_batch<L: Link, E: Engine>(runner: &EngineRunner<L, E>) {
     runner.change(|state, out| {
         let times = state.times;
-        let Some(in_hand) = state.in_hand.as_mut() else { return };
-        let took = in_hand.watch.look(Instant::now());
-        if in_hand.stuck || took < times.stuck_after(in_hand.tokens) {
+        let Some(running_batch) = state.running_batch.as_mut() else { return };
+        let took = running_batch.watch.look(Instant::now());
+        if running_batch.stuck || took < times.stuck_after(running_batch.tokens) {
             return;
         }
-        in_hand.stuck = true;
+        running_batch.stuck = true;
         runner.outbox.counters().count(Count::EnginesStuck);
         state.table.on_stuck(&format!("a batch has taken {took:?}, the engine hangs"), out);
     });
 }
 
-fn next_batch<L: Link, E: Engine>(runner: &EngineRunner<L, E>) -> Option<Vec<Work>> {
+fn next_batch<L: Link, E: Engine>(runner: &EngineRunner<L, E>) -> Option<Vec<WorkItem>> {
     let mut state = runner.state();
     while state.waiting.is_empty() {
         if runner.ended.load(Ordering::Acquire) {
@@ -91,49 +91,54 @@
         }
         state = runner.ready.wait(state).unwrap();
     }
-    let mut works: Vec<Work> = Vec::new();
-    while works.len() < runner.info.max_batch as usize {
+    let mut items: Vec<WorkItem> = Vec::new();
+    while items.len() < runner.info.max_batch as usize {
         let Some(request) = state.waiting.pop() else { break };
-        works.extend(state.table.start(request).map(|work| (request, work)));
+        items.extend(state.table.start(request).map(|work| (request, work)));
     }
-    let tokens = works.iter().map(|(_, work)| work.step.tokens.len()).sum();
-    state.in_hand = Some(InHand { watch: BatchWatch::new(Instant::now()), tokens, stuck: false });
-    Some(works)
+    let tokens = items.iter().map(|(_, work)| work.step.tokens.len()).sum();
+    state.running_batch =
+        Some(RunningBatch { watch: BatchWatch::new(Instant::now()), tokens, stuck: false });
+    Some(items)
 }
 
-/// Cuts KV caches back where positions were given up. A cache that can't be cut counts as lost.
-fn truncate_first<L: Link, E: Engine>(runner: &EngineRunner<L, E>, works: Vec<Work>) -> Vec<Work> {
-    let cut = |work: &EngineWork| match work.truncate {
+/// Truncates KV caches whose last positions were abandoned. A cache that can't be truncated counts as lost, and its
+/// request is left out of the batch.
+fn truncate_sessions<L: Link, E: Engine>(
+    runner: &EngineRunner<L, E>,
+    items: Vec<WorkItem>,
+) -> Vec<WorkItem> {
+    let truncate = |work: &EngineWork| match work.truncate {
         Some(position) => runner.engine.truncate(&work.session, position),
         None => Ok(()),
     };
-    let mut left = Vec::new();
-    for (request, work) in works {
-        match cut(&work) {
-            Ok(()) => left.push((request, work)),
+    let mut remaining = Vec::new();
+    for (request, work) in items {
+        match truncate(&work) {
+            Ok(()) => remaining.push((request, work)),
             Err(err) => runner.change(|state, out| {
                 let failed = EngineResult::Failed(err.to_string());
                 state.table.finish(request, &work.session, failed, Instant::now(), out);
             }),
         }
     }
-    left
+    remaining
 }
 
 fn finish<L: Link, E: Engine>(
     runner: &EngineRunner<L, E>,
-    works: Vec<Work>,
+    items: Vec<WorkItem>,
     results: Vec<EngineResult>,
     start: Instant,
 ) {
     let now = Instant::now();
     runner.change(|state, out| {
-        if let Some(in_hand) = state.in_hand.take()
-            && !in_hand.stuck
+        if let Some(running_batch) = state.running_batch.take()
+            && !running_batch.stuck
         {
-            state.times.note(in_hand.tokens, now - start);
+            state.times.note(running_batch.tokens, now - start);
         }
-        for ((request, work), result) in works.into_iter().zip(results) {
+        for ((request, work), result) in items.into_iter().zip(results) {
             state.table.finish(request, &work.session, result, now, out);
         }
     });
--- a/crates/daemon/src/beside/process/engine_calls.rs
+++ b/crates/daemon/src/beside/process/engine_calls.rs
@@ -1,4 +1,4 @@
-//! The thread that frees, takes out and puts in place KV caches, beside the batches.
+//! The thread that releases, exports and imports KV caches, concurrently with batches.
 
 use crate::beside::process::EngineRunner;
 use crossbeam::channel::Receiver;
@@ -6,24 +6,24 @@
 use sorrellock_ports::api::Engine;
 use sorrellock_wire::connection::Link;
 
-/// A call to an engine besides batches.
+/// A call to an engine other than a batch.
 pub(super) enum EngineCall {
-    /// Free a KV cache.
+    /// Releases the KV cache of a session.
     Release(String),
-    /// Take a KV cache out.
+    /// Exports a KV cache.
     Export(KvExport),
-    /// Put a KV cache in place.
+    /// Imports a KV cache that was handed over.
     Import {
         /// The request.
         request: RequestKey,
-        /// Names the KV cache.
+        /// Session of the KV cache.
         session: String,
-        /// What was handed over.
+        /// Handover message of the leaving stage, with the KV cache.
         handover: Handover,
     },
 }
 
-/// Makes call after call until the runner is dropped.
+/// Makes queued calls until the queue is closed.
 pub(super) fn run_calls<L: Link, E: Engine>(
     runner: &EngineRunner<L, E>,
     rx: &Receiver<EngineCall>,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Frees a KV cache, and with it those that wait behind it.
+/// Releases a KV cache, together with the releases that directly follow it in the queue.
 fn release<L: Link, E: Engine>(
     runner: &EngineRunner<L, E>,
     first: String,
@@ -63,7 +63,7 @@
     match call {
         EngineCall::Release(session) => drop(runner.engine.release(&[session])),
         EngineCall::Export(export) => {
-            let kv = take_out(&*runner.engine, &export);
+            let kv = export_session(&*runner.engine, &export);
             runner.change(|state, out| state.table.on_exported(export.request, kv, out));
         }
         EngineCall::Import { request, session, mut handover } => {
@@ -75,7 +75,7 @@
     }
 }
 
-fn take_out<E: Engine>(engine: &E, export: &KvExport) -> Option<Vec<u8>> {
+fn export_session<E: Engine>(engine: &E, export: &KvExport) -> Option<Vec<u8>> {
     if let Some(position) = export.truncate {
         engine.truncate(&export.session, position).ok()?;
     }
--- a/crates/daemon/src/beside/process/engine_runner.rs
+++ b/crates/daemon/src/beside/process/engine_runner.rs
@@ -1,7 +1,7 @@
-//! One engine: hands messages to the requests open at it, and their work to its threads.
+//! Runner of one engine: applies messages to its open requests, and queues their work for its threads.
 
 use crate::beside::process::Outbox;
-use crate::beside::process::engine_batches::{InHand, run_batches, watch_batches};
+use crate::beside::process::engine_batches::{RunningBatch, run_batches, watch_batches};
 use crate::beside::process::engine_calls::{EngineCall, run_calls};
 use crate::beside::process::role_change::is_held;
 use crate::beside::request::WaitingRequests;
@@ -22,22 +22,22 @@
 use std::thread;
 use std::time::Instant;
 
-/// Full batches of requests that an engine is offered: one runs while the next gathers.
-const BATCHES_IN_HAND: u32 = 2;
-/// Calls that wait for an engine besides batches. Past it a KV cache to be freed is left to the
-/// engine's own bound, and one to be handed over is not.
+/// Full batches of requests that an engine accepts: one runs while the next fills up.
+const BATCHES_PER_ENGINE: u32 = 2;
+/// Max queued calls to an engine other than batches. Further calls are dropped: a KV cache to be
+/// released is left to the engine's own limit, and one to be exported is not handed over.
 const CALL_QUEUE: usize = 4096;
 
-/// Bounds of one engine's runner.
+/// Limits of one engine's runner.
 #[derive(Clone, Debug)]
 pub struct EngineBounds {
-    /// The most requests open.
+    /// Max open requests.
     pub max_sessions: usize,
-    /// Bytes of output kept by all requests of the daemon.
+    /// Budget for the output kept for replay, shared by all requests of the daemon.
     pub kept: Arc<KeptBudget>,
 }
 
-/// One engine.
+/// Runner of one engine, shared by its threads.
 pub struct EngineRunner<L, E> {
     pub(super) engine: Arc<E>,
     pub(super) info: EngineInfo,
@@ -50,27 +50,27 @@
     calls: Sender<EngineCall>,
 }
 
-/// What the threads of one engine share.
+/// State of one engine that its threads change under a lock.
 pub(super) struct State {
     pub(super) table: StageTable,
     pub(super) waiting: WaitingRequests,
-    pub(super) in_hand: Option<InHand>,
+    pub(super) running_batch: Option<RunningBatch>,
     pub(super) times: StepTimes,
-    /// What the engine holds, as it said last.
+    /// The model and layers that the engine holds, by its last report.
     held: EngineInfo,
-    /// What it is to hold next; it takes no new requests meanwhile.
-    pub(super) loads: Option<Holding>,
+    /// The model and layers that the engine is to load. It takes no new requests meanwhile.
+    pub(super) loading: Option<Holding>,
 }
 
 impl State {
-    /// Whether the engine has had a batch in hand for too long.
+    /// Returns whether the current batch takes too long.
     fn is_stuck(&self) -> bool {
-        self.in_hand.as_ref().is_some_and(|in_hand| in_hand.stuck)
+        self.running_batch.as_ref().is_some_and(|running_batch| running_batch.stuck)
     }
 }
 
 impl<L: Link, E: Engine> EngineRunner<L, E> {
-    /// Starts the threads of one engine.
+    /// Creates the runner of an engine and starts its threads.
     pub fn start(
         engine: E,
         info: EngineInfo,
@@ -81,10 +81,10 @@
         let state = State {
             table: StageTable::new(bounds.kept),
             waiting: WaitingRequests::default(),
-            in_hand: None,
+            running_batch: None,
             times: StepTimes::default(),
             held: info.clone(),
-            loads: None,
+            loading: None,
         };
         let runner = Arc::new(EngineRunner {
             engine: Arc::new(engine),
@@ -104,11 +104,11 @@
         runner
     }
 
-    /// What the daemon tells of this engine.
+    /// Returns what the daemon announces about this engine.
     pub fn fact(&self) -> EndpointFact {
         let state = self.state();
-        // An engine that is to hold other layers serves none for who looks for a route.
-        let (model, layers) = match &state.loads {
+        // An engine that is to load other layers announces none, so that no new route uses it.
+        let (model, layers) = match &state.loading {
             Some(_) => (ModelId::new(), LayerRange::new(0, 0)),
             None => (state.held.model.clone(), state.held.layers),
         };
@@ -116,49 +116,49 @@
             id: self.info.endpoint.clone(),
             role: Role::Engine { model, layers },
             load: state.table.len() as u32,
-            slots: self.info.max_batch * BATCHES_IN_HAND,
+            slots: self.info.max_batch * BATCHES_PER_ENGINE,
             engine: Some(offer(&state)),
         }
     }
 
-    /// Whether the engine holds these layers, and no others next.
+    /// Returns whether the engine holds these layers and is not loading others.
     pub(super) fn holds_layers(&self, holding: &Holding) -> bool {
         let state = self.state();
-        state.loads.is_none() && is_held(&state.held, holding)
+        state.loading.is_none() && is_held(&state.held, holding)
     }
 
-    /// Takes no new requests, and offers what is open to other engines.
-    pub(super) fn begin_change(&self, to: Holding) {
-        self.state().loads = Some(to);
+    /// Refuses new requests from now on, and has open requests offered to other engines.
+    pub(super) fn begin_role_change(&self, to: Holding) {
+        self.state().loading = Some(to);
     }
 
-    /// Takes requests again for what the engine says that it holds; for nothing if it says nothing.
-    pub(super) fn end_change(&self, held: Option<EngineInfo>) {
+    /// Accepts requests again for the layers that the engine reports. If it reports nothing, it serves no layers.
+    pub(super) fn end_role_change(&self, held: Option<EngineInfo>) {
         let mut state = self.state();
-        state.loads = None;
+        state.loading = None;
         match held {
             Some(held) => state.held = held,
             None => state.held.layers = LayerRange::new(0, 0),
         }
     }
 
-    /// Whether the engine hangs; others are not told of it meanwhile.
+    /// Returns whether the engine is stuck. A stuck engine is not announced.
     pub fn is_stuck(&self) -> bool {
         self.state().is_stuck()
     }
 
-    /// How many requests are open.
+    /// Returns the number of open requests.
     pub fn open_requests(&self) -> usize {
         self.state().table.len()
     }
 
-    /// Ends the threads after the work in hand.
+    /// Stops the threads after their current work.
     pub fn end(&self) {
         self.ended.store(true, Ordering::Release);
         self.ready.notify_all();
     }
 
-    /// Offers what is open to other engines, again and again until it is gone.
+    /// Offers open requests to other engines, repeatedly until none is left.
     pub fn leave(&self) {
         self.leaving.store(true, Ordering::Release);
         self.change(|state, out| state.table.on_leaving(out));
@@ -172,8 +172,8 @@
         });
     }
 
-    /// Takes a message about a request that may be open here.
-    pub fn take(&self, message: &PipelineMessage) {
+    /// Handles a message about a request that may be open here.
+    pub fn on_message(&self, message: &PipelineMessage) {
         self.change(|state, out| {
             let table = &mut state.table;
             match message {
@@ -205,12 +205,12 @@
         });
     }
 
-    /// Whether a request is open here.
+    /// Returns whether a request is open here.
     pub fn holds(&self, request: RequestKey) -> bool {
         self.state().table.holds(request)
     }
 
-    /// The link to a peer closed.
+    /// Handles a closed link to a peer.
     pub fn on_closed(&self, peer: SocketAddr) {
         self.change(|state, out| state.table.on_closed(peer, out));
     }
@@ -219,13 +219,13 @@
         self.state.lock().unwrap()
     }
 
-    /// Changes the state, and does what comes of it. Messages are queued under the lock, so that
-    /// those of one request leave in order.
+    /// Changes the state and carries out the resulting output. Messages are queued under the lock, so that those of one
+    /// request are sent in order.
     pub(super) fn change<T>(&self, change: impl FnOnce(&mut State, &mut StageOutput) -> T) -> T {
         let mut out = StageOutput::default();
         let mut state = self.state();
         let result = change(&mut state, &mut out);
-        out.counts.iter().for_each(|count| self.outbox.counters().count(counted(*count)));
+        out.counts.iter().for_each(|count| self.outbox.counters().count(counter_for(*count)));
         self.outbox.pipeline_each(out.messages);
         let ready = !out.ready.is_empty();
         out.ready.iter().for_each(|(priority, request)| state.waiting.push(*priority, *request));
@@ -233,11 +233,11 @@
         if ready {
             self.ready.notify_one();
         }
-        self.call_engine(out.releases, out.exports, out.imports);
+        self.queue_engine_calls(out.releases, out.exports, out.imports);
         result
     }
 
-    fn call_engine(
+    fn queue_engine_calls(
         &self,
         releases: Vec<String>,
         exports: Vec<sorrellock_core::request::KvExport>,
@@ -262,7 +262,7 @@
         let held = state.held.layers;
         let holds =
             hop.is_some_and(|hop| hop.layers.first >= held.first && hop.layers.end <= held.end);
-        if leaving || state.loads.is_some() || !holds {
+        if leaving || state.loading.is_some() || !holds {
             return Some(Refusal::Leaving);
         }
         let full = state.table.len() >= self.max_sessions;
@@ -275,10 +275,10 @@
         0 => state.held.layers.count() as Layer,
         capacity => capacity,
     };
-    EngineOffer { capacity, speed: state.held.speed.max(1), loads: state.loads.clone() }
+    EngineOffer { capacity, speed: state.held.speed.max(1), loads: state.loading.clone() }
 }
 
-fn counted(count: StageCount) -> Count {
+fn counter_for(count: StageCount) -> Count {
     match count {
         StageCount::Repeated => Count::StepsRepeated,
         StageCount::Stale => Count::StepsStale,
--- a/crates/daemon/src/beside/process/mod.rs
+++ b/crates/daemon/src/beside/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the daemon beside endpoints.
+//! Process-wide state of the daemon that runs next to endpoints.
 
 mod beside;
 mod beside_handler;
@@ -23,4 +23,4 @@
 use order_desk::OrderDesk;
 use outbox::Outbox;
 use service_runner::ServiceRunner;
-use starts::Starts;
+use starts::StartRegistry;
--- a/crates/daemon/src/beside/process/order_desk.rs
+++ b/crates/daemon/src/beside/process/order_desk.rs
@@ -1,4 +1,4 @@
-//! Takes orders for the engines of a daemon: one at a time for each, judged by the guard first.
+//! Executes orders for the engines of a daemon, one at a time per engine, once the fencing guard admits them.
 
 use crate::beside::process::fence_table::FenceTable;
 use crate::beside::process::{EngineRunner, Outbox};
@@ -16,37 +16,37 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 
-/// An order, and who gave it.
-type Given = (Peer, OrderRequest);
+/// An order and its sender.
+type ReceivedOrder = (Peer, OrderRequest);
 
-/// Where orders for one engine go. Its thread has one in hand and none waits. What tells is the flag,
-/// not whether the thread waits for an order: one that has just begun doesn't yet, and its engine is
-/// idle.
-struct LaneInput {
-    tx: Sender<Given>,
+/// Sends orders to the thread of one engine, which executes one at a time; none is queued. The flag says whether the
+/// engine has an order. Whether the thread waits at the channel does not: a newly started thread does not wait yet
+/// although its engine is idle.
+struct OrderSender {
+    tx: Sender<ReceivedOrder>,
     has_order: Arc<AtomicBool>,
 }
 
-impl LaneInput {
-    /// Hands an order over, unless the engine has one. Never blocks.
-    fn try_give(&self, given: Given) -> Result<(), OrderRefusal> {
+impl OrderSender {
+    /// Sends an order to the thread, unless the engine has one. Never blocks.
+    fn try_send(&self, received: ReceivedOrder) -> Result<(), OrderRefusal> {
         if self.has_order.swap(true, Ordering::AcqRel) {
             return Err(OrderRefusal::Busy);
         }
-        // The lane lives as long as its engine's daemon.
-        self.tx.try_send(given).map_err(|_| OrderRefusal::Busy)
+        // The thread runs until the daemon ends, so the channel does not close before.
+        self.tx.try_send(received).map_err(|_| OrderRefusal::Busy)
     }
 }
 
-/// Takes orders for the engines of a daemon.
+/// Receives orders for the engines of a daemon.
 pub struct OrderDesk<L> {
-    lanes: HashMap<EndpointId, LaneInput>,
+    senders: HashMap<EndpointId, OrderSender>,
     outbox: Outbox<L>,
     journal: Arc<Journal>,
 }
 
 impl<L: Link> OrderDesk<L> {
-    /// Starts a thread for each engine.
+    /// Starts one thread per engine.
     pub fn start<E: Engine, S: ObjectStore>(
         engines: &HashMap<EndpointId, Arc<EngineRunner<L, E>>>,
         store: Option<S>,
@@ -54,11 +54,11 @@
         journal: Arc<Journal>,
     ) -> OrderDesk<L> {
         let fences = Arc::new(FenceTable::new(store));
-        let mut lanes = HashMap::new();
+        let mut senders = HashMap::new();
         for (id, runner) in engines {
             let (tx, rx) = bounded(1);
             let has_order = Arc::new(AtomicBool::new(false));
-            let lane = Lane {
+            let worker = OrderWorker {
                 has_order: has_order.clone(),
                 runner: runner.clone(),
                 fences: fences.clone(),
@@ -67,19 +67,19 @@
             };
             thread::Builder::new()
                 .name("engine-orders".into())
-                .spawn(move || lane.run(&rx))
+                .spawn(move || worker.run(&rx))
                 .expect("a thread can be started");
-            lanes.insert(id.clone(), LaneInput { tx, has_order });
+            senders.insert(id.clone(), OrderSender { tx, has_order });
         }
-        OrderDesk { lanes, outbox, journal }
+        OrderDesk { senders, outbox, journal }
     }
 
-    /// Takes an order, or refuses it at once. Never blocks.
+    /// Passes an order to the thread of its engine, or refuses it at once. Never blocks.
     pub fn on_order(&self, from: Peer, order: OrderRequest, leaving: bool) {
-        let refusal = match self.lanes.get(&order.endpoint) {
+        let refusal = match self.senders.get(&order.endpoint) {
             None => OrderRefusal::NoSuchEndpoint,
             Some(_) if leaving => OrderRefusal::Leaving,
-            Some(lane) => match lane.try_give((from, order.clone())) {
+            Some(sender) => match sender.try_send((from, order.clone())) {
                 Ok(()) => return,
                 Err(refusal) => refusal,
             },
@@ -88,9 +88,9 @@
     }
 }
 
-/// The orders of one engine.
-struct Lane<L, E, S> {
-    /// An order is in hand.
+/// Executes the orders of one engine.
+struct OrderWorker<L, E, S> {
+    /// Whether an order is being executed.
     has_order: Arc<AtomicBool>,
     runner: Arc<EngineRunner<L, E>>,
     fences: Arc<FenceTable<S>>,
@@ -98,19 +98,19 @@
     journal: Arc<Journal>,
 }
 
-impl<L: Link, E: Engine, S: ObjectStore> Lane<L, E, S> {
-    fn run(&self, orders: &Receiver<Given>) {
+impl<L: Link, E: Engine, S: ObjectStore> OrderWorker<L, E, S> {
+    fn run(&self, orders: &Receiver<ReceivedOrder>) {
         for (from, order) in orders {
-            let taken = self.take(from, &order);
-            // Whoever hears of the end may give the next order.
+            let result = self.execute(from, &order);
+            // Cleared before the refusal is sent, as its receiver may send the next order at once.
             self.has_order.store(false, Ordering::Release);
-            if let Err(refusal) = taken {
+            if let Err(refusal) = result {
                 refuse(&self.outbox, &self.journal, from, &order, refusal);
             }
         }
     }
 
-    fn take(&self, from: Peer, order: &OrderRequest) -> Result<(), OrderRefusal> {
+    fn execute(&self, from: Peer, order: &OrderRequest) -> Result<(), OrderRefusal> {
         let admit = || self.fences.admit(&order.model, order.fence);
         admit()?;
         self.outbox.counters().count(Count::OrdersTaken);
--- a/crates/daemon/src/beside/process/outbox.rs
+++ b/crates/daemon/src/beside/process/outbox.rs
@@ -1,4 +1,4 @@
-//! Sending from a daemon: a refused send is counted, as whoever waits will ask again.
+//! Sends messages to peers. A refused send is only counted, as the peer that waits for the message retries.
 
 use crate::process::{Count, Counters};
 use sorrellock_core::request::{Outgoing, Peer};
@@ -6,7 +6,7 @@
 use sorrellock_wire::message::{CallMessage, Message, PipelineMessage};
 use std::sync::Arc;
 
-/// A link with the counters of its process.
+/// The link to peers, with the counters of this process.
 pub struct Outbox<L> {
     link: Arc<L>,
     counters: Arc<Counters>,
@@ -19,12 +19,12 @@
 }
 
 impl<L: Link> Outbox<L> {
-    /// Sends over `link`.
+    /// Creates an outbox that sends over `link`.
     pub fn new(link: Arc<L>, counters: Arc<Counters>) -> Outbox<L> {
         Outbox { link, counters }
     }
 
-    /// The counters of the process.
+    /// Returns the counters of the process.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
@@ -34,7 +34,7 @@
         self.send(to, Message::Pipeline(message));
     }
 
-    /// Sends messages of pipeline requests, those to each peer together.
+    /// Sends messages of pipeline requests, grouped by peer.
     pub fn pipeline_each(&self, messages: Vec<Outgoing>) {
         let each = messages.into_iter().map(|out| (out.to, Message::Pipeline(out.message)));
         let refused = self.link.send_each(each);
--- a/crates/daemon/src/beside/process/role_change.rs
+++ b/crates/daemon/src/beside/process/role_change.rs
@@ -1,5 +1,5 @@
-//! How an engine comes to hold other layers: it takes no new requests, finishes or hands over what
-//! runs, gets the order, and is asked what it holds until it holds that.
+//! Changes the layers that an engine holds: stops new requests, waits until open requests end or are handed over, sends
+//! the order, and polls the engine until it reports the new layers.
 
 use crate::beside::process::EngineRunner;
 use sorrellock_core::process::orders::Holding;
@@ -10,20 +10,20 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long what runs may take to end or to be handed over.
-const WORK_WAIT: Duration = Duration::from_secs(10);
-/// How long the entries of what is left then have to take it elsewhere.
-const CUT_WAIT: Duration = Duration::from_millis(500);
-/// How often the work that is open is looked at.
-const WORK_POLL: Duration = Duration::from_millis(5);
-/// How long an engine may take to load what was ordered.
+/// Max time for open requests to end or to be handed over.
+const DRAIN_WAIT: Duration = Duration::from_secs(10);
+/// Time for the entries of the remaining requests to move them to other engines.
+const REROUTE_WAIT: Duration = Duration::from_millis(500);
+/// Poll interval for open requests.
+const DRAIN_POLL: Duration = Duration::from_millis(5);
+/// Max time for an engine to load the ordered layers.
 const LOAD_WAIT: Duration = Duration::from_secs(600);
-/// How often a loading engine is asked what it holds.
+/// Poll interval for the layers of a loading engine.
 const LOAD_POLL: Duration = Duration::from_millis(200);
 
 impl<L: Link, E: Engine> EngineRunner<L, E> {
-    /// Brings the engine to hold what was ordered. `admit` is asked once more when its work has
-    /// ended, as another lead may have come meanwhile.
+    /// Makes the engine load the ordered layers. Calls `admit` again once the engine is drained, as another lead may
+    /// have taken over meanwhile.
     pub(super) fn change_role(
         &self,
         order: &OrderRequest,
@@ -33,31 +33,32 @@
         if self.holds_layers(&to) {
             return Ok(());
         }
-        self.begin_change(to.clone());
-        self.end_work();
+        self.begin_role_change(to.clone());
+        self.drain_requests();
         let result = admit().and_then(|()| self.load(order, &to));
-        self.end_change(self.ask_until_answered());
+        self.end_role_change(self.poll_engine_info());
         result
     }
 
-    /// Waits until no request is open. What is left after a while is told to go elsewhere.
-    fn end_work(&self) {
-        if self.wait_for_no_work(WORK_WAIT) {
+    /// Waits until no request is open. After [`DRAIN_WAIT`], reports failure to the entries of the remaining requests,
+    /// so that they move them to other engines.
+    fn drain_requests(&self) {
+        if self.wait_until_drained(DRAIN_WAIT) {
             return;
         }
         self.change(|state, out| {
             state.table.on_stuck("the engine is to hold other layers", out);
         });
-        self.wait_for_no_work(CUT_WAIT);
+        self.wait_until_drained(REROUTE_WAIT);
     }
 
-    fn wait_for_no_work(&self, wait: Duration) -> bool {
+    fn wait_until_drained(&self, wait: Duration) -> bool {
         let end = Instant::now() + wait;
         while self.open_requests() > 0 && !self.has_ended() {
             if Instant::now() > end {
                 return false;
             }
-            thread::sleep(WORK_POLL);
+            thread::sleep(DRAIN_POLL);
         }
         true
     }
@@ -82,9 +83,9 @@
         Err(OrderRefusal::Engine(detail))
     }
 
-    /// What the engine holds, as nothing else may be told of it. Whether an order without an answer
-    /// took effect shows here too.
-    fn ask_until_answered(&self) -> Option<EngineInfo> {
+    /// Polls the engine until it reports what it holds. The daemon announces only what the engine reports. This also
+    /// shows whether an order that got no answer took effect.
+    fn poll_engine_info(&self) -> Option<EngineInfo> {
         let end = Instant::now() + LOAD_WAIT;
         while Instant::now() < end && !self.has_ended() {
             match self.engine.info() {
@@ -100,7 +101,7 @@
     }
 }
 
-/// Whether an engine holds layers of a model.
+/// Returns whether an engine holds exactly these layers of the model.
 pub(super) fn is_held(info: &EngineInfo, holding: &Holding) -> bool {
     info.model == holding.model && info.layers == holding.layers
 }
--- a/crates/daemon/src/beside/process/service_runner.rs
+++ b/crates/daemon/src/beside/process/service_runner.rs
@@ -1,6 +1,6 @@
-//! One instance of a plain service: a bounded queue of calls and the threads that pass them on.
+//! Runner of one instance of a plain service: a bounded queue of calls, and the threads that make them.
 
-use crate::beside::process::{CallQueue, Starts};
+use crate::beside::process::{CallQueue, StartRegistry};
 use crate::process::Count;
 use sorrellock_core::process::ledger::Stamp;
 use sorrellock_core::process::{EndpointFact, Role};
@@ -15,32 +15,32 @@
 
 use super::ServiceEndpoint;
 
-/// A call with the entry that sent it, and the instant at which its deadline passes.
-struct Waiting {
+/// A queued call, with the entry that sent it and the time of its deadline.
+struct QueuedCall {
     entry: Peer,
     call: CallRequest,
-    /// Its record in the ledger, if it has one.
+    /// Record of the call in the ledger, if it has one.
     stamp: Option<Stamp>,
     deadline: Instant,
 }
 
-/// One instance of a plain service.
+/// Runner of one instance of a plain service.
 pub struct ServiceRunner<L> {
     endpoint: ServiceEndpoint,
     threads: usize,
-    queue: Arc<CallQueue<Waiting>>,
+    queue: Arc<CallQueue<QueuedCall>>,
     open: Arc<AtomicU32>,
-    starts: Arc<Starts<L>>,
+    starts: Arc<StartRegistry<L>>,
 }
 
 impl<L: Link> ServiceRunner<L> {
-    /// Starts `threads` threads, before which `queue` calls may wait.
+    /// Starts `threads` threads with a queue for at most `queue` calls.
     pub fn start<S: Service>(
         endpoint: ServiceEndpoint,
         service: S,
         threads: usize,
         queue: usize,
-        starts: Arc<Starts<L>>,
+        starts: Arc<StartRegistry<L>>,
     ) -> ServiceRunner<L> {
         let queue = Arc::new(CallQueue::new(queue));
         let open = Arc::new(AtomicU32::new(0));
@@ -56,7 +56,7 @@
         ServiceRunner { endpoint, threads, queue, open, starts }
     }
 
-    /// What the daemon tells of this instance.
+    /// Returns what the daemon announces about this instance.
     pub fn fact(&self) -> EndpointFact {
         EndpointFact {
             id: self.endpoint.id.clone(),
@@ -67,19 +67,19 @@
         }
     }
 
-    /// How many calls wait or run.
+    /// Returns the number of queued and running calls.
     pub fn open_calls(&self) -> u32 {
         self.open.load(Ordering::Acquire)
     }
 
-    /// Takes a call that may start, or refuses it at once; where the queue is full, the newest
-    /// call of the lowest priority is refused in its place.
+    /// Queues a call that may start. If the queue is full, the newest call of the lowest priority is refused,
+    /// which may be this one.
     pub fn call(&self, entry: Peer, call: CallRequest, stamp: Option<Stamp>) {
         let deadline = Instant::now() + Duration::from_millis(call.deadline_ms);
         self.open.fetch_add(1, Ordering::AcqRel);
         let priority = call.priority;
-        let waiting = Waiting { entry, call, stamp, deadline };
-        let Some(refused) = self.queue.push(priority, waiting) else { return };
+        let queued = QueuedCall { entry, call, stamp, deadline };
+        let Some(refused) = self.queue.push(priority, queued) else { return };
         self.open.fetch_sub(1, Ordering::AcqRel);
         let detail = format!("the queue of endpoint {} is full", self.endpoint.id);
         refuse(&self.starts, &refused, Refusal::Capacity, detail);
@@ -93,25 +93,25 @@
 }
 
 fn run_calls<L: Link, S: Service>(
-    queue: &CallQueue<Waiting>,
+    queue: &CallQueue<QueuedCall>,
     service: &S,
-    starts: &Starts<L>,
+    starts: &StartRegistry<L>,
     open: &AtomicU32,
 ) {
-    while let Some(waiting) = queue.pop() {
-        run_call(&waiting, service, starts);
+    while let Some(queued) = queue.pop() {
+        run_call(&queued, service, starts);
         open.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-fn run_call<L: Link, S: Service>(waiting: &Waiting, service: &S, starts: &Starts<L>) {
-    let left = waiting.deadline.saturating_duration_since(Instant::now());
+fn run_call<L: Link, S: Service>(queued: &QueuedCall, service: &S, starts: &StartRegistry<L>) {
+    let left = queued.deadline.saturating_duration_since(Instant::now());
     if left.is_zero() {
         let detail = "its deadline passed while it waited".to_owned();
-        return refuse(starts, waiting, Refusal::Deadline, detail);
+        return refuse(starts, queued, Refusal::Deadline, detail);
     }
     starts.counters().count(Count::Calls);
-    let end = match service.call(&service_call(&waiting.call), left) {
+    let end = match service.call(&service_call(&queued.call), left) {
         Ok(answer) => CallEnd::Done {
             status: answer.status,
             content_type: answer.content_type,
@@ -122,7 +122,7 @@
         }
         Err(ServiceError::NoAnswer { detail }) => CallEnd::Unknown { detail },
     };
-    answer(starts, waiting, end);
+    answer(starts, queued, end);
 }
 
 fn service_call(call: &CallRequest) -> ServiceCall {
@@ -135,11 +135,16 @@
     }
 }
 
-fn refuse<L: Link>(starts: &Starts<L>, waiting: &Waiting, refusal: Refusal, detail: String) {
+fn refuse<L: Link>(
+    starts: &StartRegistry<L>,
+    queued: &QueuedCall,
+    refusal: Refusal,
+    detail: String,
+) {
     starts.counters().count(Count::CallsRefused);
-    answer(starts, waiting, CallEnd::NotRun { refusal, detail });
+    answer(starts, queued, CallEnd::NotRun { refusal, detail });
 }
 
-fn answer<L: Link>(starts: &Starts<L>, waiting: &Waiting, end: CallEnd) {
-    starts.end_call(waiting.entry, &waiting.call, waiting.stamp.as_ref(), end);
+fn answer<L: Link>(starts: &StartRegistry<L>, queued: &QueuedCall, end: CallEnd) {
+    starts.end_call(queued.entry, &queued.call, queued.stamp.as_ref(), end);
 }
--- a/crates/daemon/src/beside/process/settings.rs
+++ b/crates/daemon/src/beside/process/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a daemon beside endpoints.
+//! Settings of a daemon that runs next to endpoints.
 
 use sorrellock_core::id::{EndpointId, Place, ServiceId};
 use sorrellock_core::process::ledger::HolderConfig;
@@ -7,51 +7,53 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A plain service's instance that a daemon serves.
+/// Instance of a plain service that a daemon serves.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceEndpoint {
-    /// The endpoint's name.
+    /// Name of the endpoint.
     pub id: EndpointId,
     /// The service that it is an instance of.
     pub service: ServiceId,
-    /// Where it listens.
+    /// Address on which the instance listens.
     pub addr: SocketAddr,
 }
 
-/// Settings of a daemon beside endpoints.
+/// Settings of a daemon that runs next to endpoints.
 #[derive(Clone, Debug)]
 pub struct BesideSettings {
     /// The place of the instance.
     pub place: Place,
-    /// Where to listen for other daemons.
+    /// Address on which to listen for other daemons.
     pub link: SocketAddr,
-    /// What carries messages to other daemons; the same in the whole fleet.
+    /// Transport for messages to other daemons. Must be the same in the whole fleet.
     pub link_kind: LinkKind,
-    /// Where operators ask, if at all.
+    /// Address of the operators' listener, if there is one.
     pub operators: Option<SocketAddr>,
-    /// Where metrics go, if anywhere.
+    /// Address to which metrics are sent, if at all.
     pub metrics: Option<SocketAddr>,
-    /// The platform's object API and list of instances. Without it, the daemon waits to be found.
+    /// Address of the platform's object API and list of instances. Without it, the daemon waits for peers to
+    /// contact it.
     pub platform: Option<SocketAddr>,
-    /// The engines served.
+    /// Addresses of the engines that the daemon serves.
     pub engines: Vec<SocketAddr>,
-    /// The plain services served.
+    /// Plain services that the daemon serves.
     pub services: Vec<ServiceEndpoint>,
-    /// Bytes of output kept for replay, for each request at each stage.
+    /// Max bytes of output kept for replay, per request and stage.
     pub replay_budget: usize,
-    /// Bytes of output kept for replay, for all requests at this daemon.
+    /// Max bytes of output kept for replay, for all requests at this daemon.
     pub daemon_replay_budget: usize,
-    /// The most requests open at one engine.
+    /// Max open requests per engine.
     pub max_sessions: usize,
-    /// The most calls that run at one plain service.
+    /// Max concurrent calls per plain service.
     pub max_calls: usize,
-    /// The most calls that wait for one plain service.
+    /// Max queued calls per plain service.
     pub call_queue: usize,
-    /// How long an `Idempotency-Key` is remembered; all daemons take the same.
+    /// How long an `Idempotency-Key` is retained. Must be the same at all daemons.
     pub key_retention: Duration,
-    /// How long a leaving daemon stays at least, to refuse what was sent before all had heard of it.
+    /// Minimum time that a leaving daemon keeps running, to refuse work from peers that have not yet learned that it is
+    /// leaving.
     pub linger: Duration,
-    /// How orders to engines are planned where this daemon leads.
+    /// Settings of the planner of engine orders, used where this daemon is the lead.
     pub planner: PlannerConfig,
 }
 
@@ -69,7 +71,7 @@
     /// Default of `linger`.
     pub const LINGER: Duration = Duration::from_secs(4);
 
-    /// The defaults, without endpoints.
+    /// Creates the default settings, without endpoints.
     pub fn new(place: impl Into<Place>, link: SocketAddr) -> BesideSettings {
         BesideSettings {
             place: place.into(),
@@ -91,43 +93,43 @@
         }
     }
 
-    /// Finds its peers by the platform at `addr`.
+    /// Sets the address of the platform, from which peers are discovered.
     pub fn with_platform(mut self, addr: SocketAddr) -> BesideSettings {
         self.platform = Some(addr);
         self
     }
 
-    /// Sets how long a leaving daemon stays at least.
+    /// Sets the minimum time that a leaving daemon keeps running.
     pub fn with_linger(mut self, linger: Duration) -> BesideSettings {
         self.linger = linger;
         self
     }
 
-    /// Keeps at most this much output for each request at each stage.
+    /// Sets the max bytes of output kept for replay, per request and stage.
     pub fn with_replay_budget(mut self, bytes: usize) -> BesideSettings {
         self.replay_budget = bytes;
         self
     }
 
-    /// Serves an engine.
+    /// Adds an engine.
     pub fn with_engine(mut self, addr: SocketAddr) -> BesideSettings {
         self.engines.push(addr);
         self
     }
 
-    /// Serves an instance of a plain service.
+    /// Adds an instance of a plain service.
     pub fn with_service(mut self, endpoint: ServiceEndpoint) -> BesideSettings {
         self.services.push(endpoint);
         self
     }
 
-    /// Takes another kind of link.
+    /// Sets the transport to other daemons.
     pub fn with_link_kind(mut self, kind: LinkKind) -> BesideSettings {
         self.link_kind = kind;
         self
     }
 
-    /// Plans orders to engines so.
+    /// Sets the settings of the planner of engine orders.
     pub fn with_planner(mut self, planner: PlannerConfig) -> BesideSettings {
         self.planner = planner;
         self
--- a/crates/daemon/src/beside/process/starts.rs
+++ b/crates/daemon/src/beside/process/starts.rs
@@ -1,4 +1,5 @@
-//! The last word on what starts here: each record and each attempt once.
+//! Decides which calls and pipeline requests may start at this daemon, so that each record and each attempt starts at
+//! most once.
 
 use crate::beside::process::Outbox;
 use crate::process::{Count, Counters};
@@ -12,29 +13,29 @@
 use std::net::SocketAddr;
 use std::sync::Mutex;
 
-/// Records of the ledger that are remembered.
+/// Max ledger records that are retained.
 const MAX_RECORDS: usize = 65_536;
-/// Bytes of answers that are kept for retries.
+/// Max bytes of answers that are kept for retries.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
-/// Requests without a key that are remembered.
+/// Max requests without a key that are retained.
 const MAX_REQUESTS: usize = 65_536;
 
-/// An entry's request that a run is for, or that follows it.
+/// An entry and its request that waits for the end of a run.
 type Follower = (Peer, RequestKey);
 
-/// What was started and refused here, and what became of it.
-pub struct Starts<L> {
+/// Registry of the runs that were started or refused here, with their outcomes.
+pub struct StartRegistry<L> {
     table: Mutex<StartTable<CallEnd, Follower>>,
     seen: Mutex<SeenRequests>,
-    /// Pipeline requests under way, which their entries drive.
+    /// Running pipeline requests, with the address of the entry that drives each.
     driven: Mutex<HashMap<Stamp, SocketAddr>>,
     outbox: Outbox<L>,
 }
 
-impl<L: Link> Starts<L> {
-    /// Nothing was started yet.
-    pub fn new(outbox: Outbox<L>) -> Starts<L> {
-        Starts {
+impl<L: Link> StartRegistry<L> {
+    /// Creates an empty registry.
+    pub fn new(outbox: Outbox<L>) -> StartRegistry<L> {
+        StartRegistry {
             table: Mutex::new(StartTable::new(MAX_RECORDS, MAX_ANSWER_BYTES)),
             seen: Mutex::new(SeenRequests::new(MAX_REQUESTS)),
             driven: Mutex::default(),
@@ -42,12 +43,12 @@
         }
     }
 
-    /// The counters of the process.
+    /// Returns the counters of the process.
     pub fn counters(&self) -> &Counters {
         self.outbox.counters()
     }
 
-    /// A call was refused, or ended: whoever waits for it hears so.
+    /// Sends the end of a refused or completed call to all that wait for it.
     pub fn end_call(&self, entry: Peer, call: &CallRequest, stamp: Option<&Stamp>, end: CallEnd) {
         if let Some(stamp) = stamp {
             return self.end(entry, call.request, stamp, end);
@@ -56,8 +57,9 @@
         self.outbox.call(entry, CallMessage::End { request, attempt, end });
     }
 
-    /// Judges a call without a record. One that came before must not be passed on again.
-    pub fn see(&self, call: &CallRequest) -> SeenVerdict {
+    /// Records a call without a ledger record, and returns whether it is new. A call that arrived before must not be
+    /// passed to the service again.
+    pub fn record_call(&self, call: &CallRequest) -> SeenVerdict {
         let verdict = self.seen.lock().unwrap().see(call.request, call.attempt);
         if verdict != SeenVerdict::New {
             self.outbox.counters().count(Count::StartsRepeated);
@@ -65,7 +67,7 @@
         verdict
     }
 
-    /// Whether a run with a record may start; if not, `entry` hears why.
+    /// Returns whether a run with a record may start. If not, sends the reason to `entry`, unless the run is a repeat.
     pub fn start(&self, entry: Peer, owner: RequestKey, stamp: &Stamp) -> bool {
         let verdict = self.table.lock().unwrap().start(stamp);
         let counters = self.outbox.counters();
@@ -90,19 +92,19 @@
                 CallEnd::Unknown { detail: "whether it ran is remembered no longer".into() }
             }
         };
-        self.tell_end(entry, owner, stamp, end);
+        self.send_end(entry, owner, stamp, end);
         false
     }
 
-    /// A run that was to start was refused, or ended: its entry and all who follow it hear so.
+    /// Sends the end of a run that was refused or has ended to its entry and its followers.
     pub fn end(&self, entry: Peer, owner: RequestKey, stamp: &Stamp, end: CallEnd) {
         let followers = self.finish(stamp, end.clone());
         for (to, owner) in followers.into_iter().chain([(entry, owner)]) {
-            self.tell_end(to, owner, stamp, end.clone());
+            self.send_end(to, owner, stamp, end.clone());
         }
     }
 
-    /// A pipeline request with a record begins, if it may; its entry drives it, and tells its end.
+    /// Starts a pipeline request with a record, if it may start. Its entry drives it and reports its end.
     pub fn begin(&self, entry: Peer, owner: RequestKey, stamp: Stamp, leaving: bool) {
         if !self.start(entry, owner, &stamp) {
             return;
@@ -116,7 +118,7 @@
         self.send(entry, LedgerMessage::Told { owner, stamp, told: RecordStatus::Running });
     }
 
-    /// The link to a process closed: the end of what an entry there drives may never be told.
+    /// Handles a closed link: requests that an entry there drives end as unknown, as their end may never be reported.
     pub fn on_closed(&self, peer: SocketAddr) {
         let driven = self.driven.lock().unwrap();
         let lost = driven.iter().filter(|(_, entry)| **entry == peer);
@@ -124,25 +126,25 @@
         drop(driven);
         for stamp in lost {
             let detail = format!("the link to its entry {peer} closed while it ran");
-            self.ended(&stamp, CallEnd::Unknown { detail });
+            self.on_ended(&stamp, CallEnd::Unknown { detail });
         }
     }
 
-    /// The entry tells how a run that it drives ended: all who follow it hear so.
-    pub fn ended(&self, stamp: &Stamp, end: CallEnd) {
+    /// Handles the end of a run, as reported by the entry that drives it, and sends it to the followers.
+    pub fn on_ended(&self, stamp: &Stamp, end: CallEnd) {
         self.driven.lock().unwrap().remove(stamp);
         for (to, owner) in self.finish(stamp, end.clone()) {
-            self.tell_end(to, owner, stamp, end.clone());
+            self.send_end(to, owner, stamp, end.clone());
         }
     }
 
-    /// Answers what became of a record.
-    pub fn ask(&self, from: Peer, owner: RequestKey, stamp: Stamp, fence: bool) {
+    /// Answers a query for the status of a record. With `fence`, a record that was not seen yet will never start.
+    pub fn on_query(&self, from: Peer, owner: RequestKey, stamp: Stamp, fence: bool) {
         let told = self.table.lock().unwrap().ask(&stamp, fence, (from, owner));
         self.send(from, LedgerMessage::Told { owner, stamp, told });
     }
 
-    /// Answers for an earlier incarnation, of which nothing is known here.
+    /// Answers a message for an earlier incarnation of this daemon, whose records are not known here.
     pub fn on_misdirected(&self, from: Peer, message: LedgerMessage) {
         match message {
             LedgerMessage::Run { stamp, call } => {
@@ -156,7 +158,7 @@
         }
     }
 
-    /// Records and bytes of answers that are remembered.
+    /// Returns the number of records and the bytes of answers that are retained.
     pub fn size(&self) -> (usize, usize) {
         self.table.lock().unwrap().size()
     }
@@ -173,10 +175,10 @@
     fn refuse_earlier(&self, entry: Peer, owner: RequestKey, stamp: &Stamp) {
         let detail = "its daemon was restarted before it came".into();
         let end = CallEnd::NotRun { refusal: Refusal::Superseded, detail };
-        self.tell_end(entry, owner, stamp, end);
+        self.send_end(entry, owner, stamp, end);
     }
 
-    fn tell_end(&self, to: Peer, owner: RequestKey, stamp: &Stamp, end: CallEnd) {
+    fn send_end(&self, to: Peer, owner: RequestKey, stamp: &Stamp, end: CallEnd) {
         self.send(to, LedgerMessage::End { owner, stamp: *stamp, end });
     }
 
--- a/crates/daemon/src/beside/request/mod.rs
+++ b/crates/daemon/src/beside/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lives at a daemon as long as a request.
+//! Per-request state of a daemon.
 
 mod batch;
 
