--- a/crates/daemon/src/beside/process/beside.rs
+++ b/crates/daemon/src/beside/process/beside.rs
@@ -140,8 +140,8 @@
     }
 
     /// Refuses new work and waits until open work has ended and its results are sent. Returns false if that takes
-    /// longer than `wait`. Unsent messages are checked apart from open work: a call that has ended is no longer open, but
-    /// its answer may still wait for the entry to read.
+    /// longer than `wait`. Unsent messages are checked apart from open work: a call that has ended is no longer open,
+    /// but its answer may still wait for the entry to read.
     pub fn drain(&self, wait: Duration) -> bool {
         self.handler.leaving.store(true, Ordering::Release);
         self.handler.engines.values().for_each(|engine| engine.leave());
