--- a/crates/daemon/src/beside/process/beside.rs
+++ b/crates/daemon/src/beside/process/beside.rs
@@ -5,7 +5,7 @@
 use crate::beside::process::{
     BesideHandler, BesideSettings, EngineRunner, OrderDesk, Outbox, ServiceRunner, Starts,
 };
-use crate::process::leads::LeadDesk;
+use crate::process::leads::LeadAgent;
 use crate::process::ledger::{LEDGER_STORE_TIMEOUT, LedgerHolders};
 use crate::process::{
     ConfigAgent, Count, Counters, DaemonParts, Dump, Journal, LIST_LIMIT, counters_json,
@@ -69,7 +69,7 @@
             engines,
             kept,
             orders,
-            leads: store.clone().map(|store| LeadDesk::start(store, leads_cx)),
+            leads: store.clone().map(|store| LeadAgent::start(store, leads_cx)),
             services: start_services(&settings, &starts),
             starts,
             ledger: new_ledger(me, &settings, &link),
--- a/crates/daemon/src/beside/process/beside_handler.rs
+++ b/crates/daemon/src/beside/process/beside_handler.rs
@@ -1,7 +1,7 @@
 //! Hands messages from other processes to the endpoint that they are for.
 
 use crate::beside::process::{EngineRunner, OrderDesk, Outbox, ServiceRunner, Starts};
-use crate::process::leads::LeadDesk;
+use crate::process::leads::LeadAgent;
 use crate::process::ledger::{LedgerHolders, LinkSink};
 use crate::process::{ConfigAgent, Count, FleetAgent};
 use sorrellock_core::id::{EndpointId, Incarnation};
@@ -39,7 +39,7 @@
     pub(super) agent: Arc<FleetAgent>,
     pub(super) config: Arc<ConfigAgent>,
     pub(super) orders: OrderDesk<L>,
-    pub(super) leads: Option<Arc<LeadDesk>>,
+    pub(super) leads: Option<Arc<LeadAgent>>,
 }
 
 impl<L: Link, E: Engine> BesideHandler<L, E> {
--- a/crates/daemon/src/entry/process/entry.rs
+++ b/crates/daemon/src/entry/process/entry.rs
@@ -6,7 +6,7 @@
     LimitDesk, Pipelines, RetryDesk, Timer,
 };
 use crate::entry::request::{RunTable, listener_refusal};
-use crate::process::leads::LeadDesk;
+use crate::process::leads::LeadAgent;
 use crate::process::ledger::{LEDGER_STORE_TIMEOUT, LedgerHolders};
 use crate::process::{
     ConfigAgent, Count, Counters, DaemonParts, Dump, FleetAgent, Journal, LIST_LIMIT,
@@ -60,7 +60,7 @@
             in_progress: Arc::new(in_progress),
             gate: OnceLock::new(),
             agent: agent.clone(),
-            leads: LeadDesk::start(store.clone(), leads_cx),
+            leads: LeadAgent::start(store.clone(), leads_cx),
             holders: Arc::new(new_holders(me, &settings, link.clone())),
             retries: Arc::new(RetryDesk::new(counters.clone(), journal.clone())),
             link: link.clone(),
@@ -177,7 +177,7 @@
     config: Arc<ConfigAgent>,
     fleet: Arc<FleetCell>,
     agent: Arc<FleetAgent>,
-    leads: Arc<LeadDesk>,
+    leads: Arc<LeadAgent>,
     in_progress: Arc<InProgress>,
     gate: OnceLock<Arc<Gate<AnyLink>>>,
     holders: Arc<EntryLedger<AnyLink>>,
--- a/crates/daemon/src/entry/process/entry_handler.rs
+++ b/crates/daemon/src/entry/process/entry_handler.rs
@@ -1,7 +1,7 @@
 //! Hands messages from other processes to the requests that they are for.
 
 use crate::entry::process::{Calls, FleetCell, Gate, LimitDesk, Pipelines};
-use crate::process::leads::LeadDesk;
+use crate::process::leads::LeadAgent;
 use crate::process::ledger::{LedgerHolders, LinkSink};
 use crate::process::{ConfigAgent, Count, Counters, FleetAgent, Journal};
 use sorrellock_core::id::Incarnation;
@@ -30,7 +30,7 @@
     pub(super) config: Arc<ConfigAgent>,
     pub(super) counters: Arc<Counters>,
     pub(super) journal: Arc<Journal>,
-    pub(super) leads: Arc<LeadDesk>,
+    pub(super) leads: Arc<LeadAgent>,
 }
 
 impl<L: Link> EntryHandler<L> {
--- a/crates/daemon/src/process/leads/lead_desk.rs
+++ b/crates/daemon/src/process/leads/lead_agent.rs
@@ -32,19 +32,19 @@
 }
 
 /// A daemon's part in leading models: it leads those for which rendezvous hashing names it.
-pub struct LeadDesk {
+pub struct LeadAgent {
     answers: Sender<(Peer, OrderAnswer)>,
     stopped: Arc<AtomicBool>,
     counters: Arc<Counters>,
 }
 
-impl LeadDesk {
+impl LeadAgent {
     /// Starts the thread.
-    pub fn start<S: ObjectStore, L: Link>(store: S, cx: LeadCx<L>) -> Arc<LeadDesk> {
+    pub fn start<S: ObjectStore, L: Link>(store: S, cx: LeadCx<L>) -> Arc<LeadAgent> {
         let (tx, rx) = bounded(ANSWERS);
         let stopped = Arc::new(AtomicBool::new(false));
         let desk =
-            LeadDesk { answers: tx, stopped: stopped.clone(), counters: cx.counters.clone() };
+            LeadAgent { answers: tx, stopped: stopped.clone(), counters: cx.counters.clone() };
         let store = store.with_call_limit(LEAD_CALL_LIMIT);
         let driver = Driver::new(store, cx, rx, stopped);
         thread::Builder::new()
--- a/crates/daemon/src/process/leads/mod.rs
+++ b/crates/daemon/src/process/leads/mod.rs
@@ -2,10 +2,10 @@
 
 mod driver;
 mod engine_table;
-mod lead_desk;
+mod lead_agent;
 mod model_lead;
 
-pub use lead_desk::*;
+pub use lead_agent::*;
 
 use driver::Driver;
 use engine_table::EngineTable;
