--- a/crates/daemon/src/beside/process/beside.rs
+++ b/crates/daemon/src/beside/process/beside.rs
@@ -8,7 +8,7 @@
 use crate::process::leads::LeadAgent;
 use crate::process::ledger::{LEDGER_STORE_TIMEOUT, LedgerHolders};
 use crate::process::{
-    ConfigAgent, Count, Counters, DaemonParts, Dump, Journal, LIST_LIMIT, counters_json,
+    ConfigAgent, Count, Counters, DaemonParts, Dump, Journal, LIST_TIMEOUT, counters_json,
     listen_for_operators, read_list, send_metrics,
 };
 use eyre::{Result, WrapErr};
@@ -83,7 +83,7 @@
         agent.serve(unserved.members, link.clone(), move || own.endpoints());
         config.serve(unserved.config, link.clone(), store);
         if let Some(platform) = settings.platform {
-            let list = HttpInstanceList::new(platform).with_timeout(LIST_LIMIT);
+            let list = HttpInstanceList::new(platform).with_timeout(LIST_TIMEOUT);
             read_list(agent, list, false);
         }
         send_metrics(counters.clone(), settings.metrics).wrap_err("start of the metrics")?;
--- a/crates/daemon/src/entry/process/entry.rs
+++ b/crates/daemon/src/entry/process/entry.rs
@@ -9,7 +9,7 @@
 use crate::process::leads::LeadAgent;
 use crate::process::ledger::{LEDGER_STORE_TIMEOUT, LedgerHolders};
 use crate::process::{
-    ConfigAgent, Count, Counters, DaemonParts, Dump, FleetAgent, Journal, LIST_LIMIT,
+    ConfigAgent, Count, Counters, DaemonParts, Dump, FleetAgent, Journal, LIST_TIMEOUT,
     counters_json, listen_for_operators, read_list, send_metrics,
 };
 use eyre::{Result, WrapErr};
@@ -93,7 +93,7 @@
         agent.on_change(move |members| fleet.set_members(members));
         agent.serve(unserved.members, link.clone(), Vec::new);
         config.serve(unserved.config, link, Some(store));
-        let list = HttpInstanceList::new(settings.platform).with_timeout(LIST_LIMIT);
+        let list = HttpInstanceList::new(settings.platform).with_timeout(LIST_TIMEOUT);
         read_list(agent, list, true);
         send_metrics(counters, settings.metrics).wrap_err("start of the metrics")?;
         let server = start_server(&settings, &state, gate)?;
--- a/crates/daemon/src/process/fleet_list.rs
+++ b/crates/daemon/src/process/fleet_list.rs
@@ -15,7 +15,7 @@
 const OTHERS: Duration = Duration::from_secs(60);
 /// Time for one reading. A silence, or a connection that is silent for good, costs a process that knows nobody no more than
 /// that, and a reader not even its next reading.
-pub const LIST_LIMIT: Duration = Duration::from_secs(1);
+pub const LIST_TIMEOUT: Duration = Duration::from_secs(1);
 /// Members of a place that read the list often.
 const READERS: usize = 2;
 /// What readers are drawn by.
