--- a/crates/daemon/src/cli/args.rs
+++ b/crates/daemon/src/cli/args.rs
@@ -1,4 +1,4 @@
-//! Arguments of `sorrellockd`, each also a `SORRELLOCK_…` variable.
+//! The arguments of `sorrellockd`. Each can also be set by a `SORRELLOCK_…` environment variable.
 
 use crate::beside::process::{BesideSettings, ServiceEndpoint};
 use crate::entry::process::EntrySettings;
@@ -9,10 +9,10 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// How long a graceful shutdown waits for what runs, unless set.
-const DRAIN: Duration = Duration::from_secs(600);
+/// Default for how long a graceful shutdown waits for requests in progress.
+const DEFAULT_DRAIN_WAIT: Duration = Duration::from_secs(600);
 
-/// The whole command.
+/// Returns the whole command.
 pub fn command() -> Command {
     Command::new("sorrellockd")
         .about("The daemon of sorrellock, a router for pipelines over mixed accelerators")
@@ -23,12 +23,14 @@
         .subcommand(beside_command())
         .subcommand(gateway_command())
         .subcommand(check_command())
-        .subcommand(Command::new("metrics").about("Lists all metrics, as docs/METRICS.md does"))
+        .subcommand(
+            Command::new("metrics").about("Prints the table of all metrics in docs/METRICS.md"),
+        )
 }
 
 fn check_command() -> Command {
     Command::new("check")
-        .about("Validates settings and tells where each value came from; starts nothing")
+        .about("Validates settings and prints the source of each value; starts nothing")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(entry_command())
@@ -41,46 +43,54 @@
         .long("settings")
         .env(sorrellock_platform::SETTINGS_VARIABLE)
         .value_name("FILE")
-        .help("The settings file that the platform lays down")
+        .help("The settings file that the platform provides")
         .default_value(sorrellock_platform::SETTINGS_DEFAULT_PATH)
         .value_parser(value_parser!(PathBuf));
     Command::new("gateway")
-        .about("Takes callers' requests on the users' platform, before engines that pass tokens on")
+        .about("Takes callers' requests on the users' platform and forwards them to engines that pass on tokens themselves")
         .arg(settings)
 }
 
 fn entry_command() -> Command {
     Command::new("entry")
-        .about("Takes callers' requests and drives each to its one outcome")
+        .about("Takes callers' requests and drives each to exactly one outcome")
         .args(common_args())
-        .arg(addr("callers", "Where to listen for callers").default_value("127.0.0.1:8080"))
+        .arg(addr("callers", "Address to listen on for callers").default_value("127.0.0.1:8080"))
         .arg(addr("platform", "The platform's object API and list of instances").required(true))
         .arg(count(
             "max-in-progress",
             EntrySettings::MAX_IN_PROGRESS,
-            "The most requests in progress",
+            "Maximum number of requests in progress",
         ))
         .arg(count(
             "max-connections",
             EntrySettings::MAX_CONNECTIONS,
-            "The most connections of callers",
+            "Maximum number of connections of callers",
+        ))
+        .arg(count(
+            "max-body-bytes",
+            EntrySettings::MAX_BODY_BYTES,
+            "Maximum size of a request body, in bytes",
         ))
-        .arg(count("max-body-bytes", EntrySettings::MAX_BODY_BYTES, "The largest body taken"))
         .arg(millis(
             "header-timeout-ms",
             EntrySettings::HEADER_TIMEOUT,
-            "How long the head of a request may take",
+            "Timeout for receiving the head of a request",
         ))
         .arg(millis(
             "body-timeout-ms",
             EntrySettings::BODY_TIMEOUT,
-            "How long the body of a request may take",
+            "Timeout for receiving the body of a request",
+        ))
+        .arg(count(
+            "workers",
+            EntrySettings::WORKERS,
+            "Number of threads that handle callers' requests",
         ))
-        .arg(count("workers", EntrySettings::WORKERS, "Threads that handle callers' requests"))
         .arg(millis(
             "ready-grace-ms",
             EntrySettings::READY_GRACE,
-            "How long a leaving entry takes work after /readyz fails",
+            "How long a leaving entry accepts work after /readyz starts to fail",
         ))
 }
 
@@ -95,7 +105,7 @@
         .value_parser(parse_service)
         .action(ArgAction::Append);
     Command::new("beside")
-        .about("Stands next to endpoints, and is the only process that gives them work")
+        .about("Runs beside endpoints, and is the only process that gives them work")
         .args(common_args())
         .arg(addr("platform", "The platform's object API and list of instances"))
         .arg(engine.value_delimiter(',').action(ArgAction::Append))
@@ -103,27 +113,27 @@
         .arg(count(
             "replay-budget-bytes",
             BesideSettings::REPLAY_BUDGET,
-            "Output kept for replay, for each request at each stage",
+            "Output kept for replay per request and stage, in bytes",
         ))
         .arg(count(
             "max-sessions",
             BesideSettings::MAX_SESSIONS,
-            "The most requests open at one engine",
+            "Maximum number of requests open at one engine",
         ))
         .arg(count(
             "max-calls",
             BesideSettings::MAX_CALLS,
-            "The most calls that run at one plain service",
+            "Maximum number of calls that run at one plain service",
         ))
         .arg(count(
             "call-queue",
             BesideSettings::CALL_QUEUE,
-            "The most calls that wait for one plain service",
+            "Maximum number of calls that wait for one plain service",
         ))
         .arg(millis(
             "linger-ms",
             BesideSettings::LINGER,
-            "How long a leaving daemon stays at least, to refuse what still comes",
+            "Minimum time that a leaving daemon keeps running, to refuse late requests",
         ))
 }
 
@@ -132,38 +142,46 @@
     let log = Arg::new("log-format").long("log-format").env("SORRELLOCK_LOG_FORMAT");
     [
         place.help("The place of this instance").required(true),
-        addr("link", "Where to listen for other daemons").required(true),
+        addr("link", "Address to listen on for other daemons").required(true),
         link_kind(),
-        addr("operators", "Where operators ask for /dump").default_value("127.0.0.1:0"),
-        addr("metrics", "Where metrics go, over UDP"),
+        addr("operators", "Address to listen on for operators, who can request /dump")
+            .default_value("127.0.0.1:0"),
+        addr("metrics", "Address to which metrics are sent over UDP"),
         log.value_parser(["human", "json", "off"])
             .default_value("human")
-            .help("How log lines look"),
-        millis("drain-ms", DRAIN, "How long a graceful shutdown waits for what runs"),
+            .help("Format of log lines"),
+        millis(
+            "drain-ms",
+            DEFAULT_DRAIN_WAIT,
+            "How long a graceful shutdown waits for requests in progress",
+        ),
         millis(
             "key-retention-ms",
             HolderConfig::RETENTION,
-            "How long an Idempotency-Key is remembered; all daemons take the same",
+            "How long an Idempotency-Key is remembered; must be the same for all daemons",
         ),
     ]
 }
 
 fn link_kind() -> Arg {
-    named("link-kind", "What carries messages to other daemons; the same in the whole fleet")
-        .value_parser(["tcp", "nng"])
-        .default_value("tcp")
+    named(
+        "link-kind",
+        "Transport for messages to other daemons; must be the same in the whole fleet",
+    )
+    .value_parser(["tcp", "nng"])
+    .default_value("tcp")
 }
 
 fn addr(name: &'static str, help: &'static str) -> Arg {
     named(name, help).value_name("IP:PORT").value_parser(value_parser!(SocketAddr))
 }
 
-/// A number that has a default.
+/// Returns an argument for a number with a default.
 fn count(name: &'static str, default: usize, help: &'static str) -> Arg {
     number(name, help).default_value(default.to_string())
 }
 
-/// A time in milliseconds that has a default.
+/// Returns an argument for a time in milliseconds with a default.
 fn millis(name: &'static str, default: Duration, help: &'static str) -> Arg {
     number(name, help).value_name("MS").default_value(default.as_millis().to_string())
 }
@@ -178,14 +196,14 @@
 }
 
 fn parse_service(text: &str) -> Result<ServiceEndpoint, String> {
-    let mend = || format!("`{text}` is no service; write ENDPOINT=SERVICE@IP:PORT");
-    let (id, rest) = text.split_once('=').ok_or_else(mend)?;
-    let (service, addr) = rest.split_once('@').ok_or_else(mend)?;
-    let addr = addr.parse().map_err(|_| mend())?;
+    let error = || format!("`{text}` is not a service; use the form ENDPOINT=SERVICE@IP:PORT");
+    let (id, rest) = text.split_once('=').ok_or_else(error)?;
+    let (service, addr) = rest.split_once('@').ok_or_else(error)?;
+    let addr = addr.parse().map_err(|_| error())?;
     Ok(ServiceEndpoint { id: id.into(), service: service.into(), addr })
 }
 
-/// Settings of an entry from its arguments.
+/// Returns the settings of an entry from its arguments.
 pub fn parse_entry(args: &ArgMatches) -> EntrySettings {
     let (place, callers) = (text(args, "place"), required_addr(args, "callers"));
     let (link, platform) = (required_addr(args, "link"), required_addr(args, "platform"));
@@ -204,7 +222,7 @@
     settings
 }
 
-/// Settings of a daemon beside endpoints from its arguments.
+/// Returns the settings of a daemon beside endpoints from its arguments.
 pub fn parse_beside(args: &ArgMatches) -> BesideSettings {
     let mut settings = BesideSettings::new(text(args, "place"), required_addr(args, "link"));
     settings.link_kind = parsed_link_kind(args);
@@ -250,7 +268,7 @@
     }
 }
 
-/// The settings file of a gateway.
+/// Returns the path of a gateway's settings file.
 pub fn settings_file(args: &ArgMatches) -> PathBuf {
-    args.get_one("settings").cloned().expect("it has a default")
+    args.get_one("settings").cloned().expect("the argument has a default")
 }
--- a/crates/daemon/src/cli/check.rs
+++ b/crates/daemon/src/cli/check.rs
@@ -1,16 +1,16 @@
-//! `sorrellockd check`: validates settings, and tells where each value came from.
+//! `sorrellockd check`: validates settings, and prints the source of each value.
 
 use clap::parser::ValueSource;
 use clap::{Arg, ArgMatches, Command};
 
-/// Where a setting stands, and its value.
+/// A setting with its value and the source of the value.
 struct Setting {
     name: String,
     value: String,
     source: String,
 }
 
-/// The settings of `command` as `args` give them: flag, value, and where the value came from.
+/// Returns the settings of `command` in `args`, a line each: flag, value, and the source of the value.
 pub fn describe(command: &Command, args: &ArgMatches) -> String {
     let settings: Vec<_> = command.get_arguments().filter_map(|arg| setting(arg, args)).collect();
     let width = |text: fn(&Setting) -> &str| {
--- a/crates/daemon/src/cli/mod.rs
+++ b/crates/daemon/src/cli/mod.rs
@@ -1,4 +1,5 @@
-//! The command line of `sorrellockd`: arguments here, what they start elsewhere.
+//! The command line of `sorrellockd`: its arguments and their validation. The daemons that it starts are in other
+//! modules.
 
 mod args;
 mod check;
--- a/crates/daemon/src/cli/run.rs
+++ b/crates/daemon/src/cli/run.rs
@@ -1,4 +1,4 @@
-//! Starts what the arguments ask for.
+//! Runs the subcommand that the arguments select.
 
 use crate::beside::process::Beside;
 use crate::cli::{
@@ -13,10 +13,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Exit code of a process whose settings can't be used.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code for invalid settings.
+const EXIT_BAD_SETTINGS: u8 = 2;
 
-/// Runs `sorrellockd`.
+/// Runs `sorrellockd`, and returns its exit code.
 pub fn run() -> ExitCode {
     let command = command();
     if let Err(err) = check_variables(&command, variable_names()) {
@@ -42,7 +42,7 @@
 
 fn refuse(what: &str, detail: &str) -> ExitCode {
     eprintln!("{what}: {detail}");
-    ExitCode::from(BAD_SETTINGS)
+    ExitCode::from(EXIT_BAD_SETTINGS)
 }
 
 fn run_role(role: &str, args: &ArgMatches) -> Result<ExitCode> {
@@ -56,11 +56,11 @@
     match role {
         "entry" => run_entry(args),
         "beside" => run_beside(args),
-        other => bail!("there is no role `{other}`"),
+        other => bail!("role `{other}` does not exist"),
     }
 }
 
-/// A gateway's settings are read and validated by itself.
+/// Runs a gateway, which reads and validates its settings itself.
 fn run_gateway(args: &ArgMatches) -> ExitCode {
     match sorrellock_gateway::run(&settings_file(args)) {
         Ok(()) => ExitCode::SUCCESS,
@@ -71,7 +71,7 @@
 /// Validates the settings of a role without starting anything.
 fn run_check(nested: &ArgMatches) -> Result<ExitCode> {
     let Some((role, args)) = nested.subcommand() else {
-        bail!("name a role: entry, beside or gateway")
+        bail!("no role given; use entry, beside or gateway")
     };
     let command = command();
     let of_role = command.find_subcommand(role).expect("each role has a command");
--- a/crates/daemon/src/cli/signals.rs
+++ b/crates/daemon/src/cli/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: `SIGTERM` and `SIGINT` drain, a second one ends at once, `SIGUSR1` logs the state.
+//! Signal handling: `SIGTERM` or `SIGINT` drains the process, a second one ends it at once, and `SIGUSR1` logs its state.
 
 use crate::process::Dump;
 use signal_hook::consts::{SIGINT, SIGTERM, SIGUSR1};
@@ -8,10 +8,10 @@
 use std::sync::mpsc::channel;
 use std::{io, thread};
 
-/// Exit code of a process that was ended before its work was.
-const CUT_OFF: u8 = 3;
+/// Exit code of a process that ended with work in progress.
+const EXIT_INCOMPLETE: u8 = 3;
 
-/// Waits for a signal to end, then drains; returns when the drain is over or a second signal comes.
+/// Waits for `SIGTERM` or `SIGINT`, then drains. Returns when the drain ends or a second signal arrives.
 pub fn wait_for_end(
     state: Arc<dyn Dump>,
     drain: impl FnOnce() -> bool + Send + 'static,
@@ -20,15 +20,18 @@
     let (tx, rx) = channel();
     let second = tx.clone();
     wait_for_signal(&mut signals, &*state);
-    spdlog::info!("leaving: what runs is finished, new work soon refused");
+    spdlog::info!("leaving: finishing requests in progress, new ones will soon be refused");
     thread::spawn(move || tx.send(drain()));
     thread::spawn(move || {
         wait_for_signal(&mut signals, &*state);
         second.send(false)
     });
     let drained = rx.recv().unwrap_or(false);
-    spdlog::info!("ending, {}", if drained { "all work done" } else { "with work in progress" });
-    Ok(if drained { ExitCode::SUCCESS } else { ExitCode::from(CUT_OFF) })
+    spdlog::info!(
+        "ending, {}",
+        if drained { "all work done" } else { "with work still in progress" }
+    );
+    Ok(if drained { ExitCode::SUCCESS } else { ExitCode::from(EXIT_INCOMPLETE) })
 }
 
 fn wait_for_signal(signals: &mut Signals, state: &dyn Dump) {
--- a/crates/daemon/src/cli/variables.rs
+++ b/crates/daemon/src/cli/variables.rs
@@ -1,12 +1,12 @@
-//! `SORRELLOCK_…` variables: one with an unknown name is an error, not a setting left out.
+//! `SORRELLOCK_…` environment variables. One with an unknown name is an error, so that a misspelled setting isn't ignored.
 
 use clap::Command;
 use std::fmt;
 use strsim::damerau_levenshtein;
 
-/// How the names of all variables begin.
+/// Prefix of the names of all variables.
 pub const PREFIX: &str = "SORRELLOCK_";
-/// Variables of the operators' command line, which the daemon leaves to it.
+/// Variables that the operators' command line reads; the daemon ignores them.
 pub const OPERATOR_VARIABLES: &[&str] = &[
     "SORRELLOCK_BY",
     "SORRELLOCK_DAEMONS",
@@ -17,12 +17,12 @@
 /// Variables of the project's own tests.
 const TEST_VARIABLES: &[&str] = &["SORRELLOCK_FUZZ_LONG"];
 
-/// A variable that nothing reads.
+/// A variable with the prefix that neither program reads.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownVariable {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// The name that is most like it.
+    /// The most similar known name.
     pub nearest: String,
 }
 
@@ -35,7 +35,8 @@
 
 impl std::error::Error for UnknownVariable {}
 
-/// Refuses a variable of ours among `found` that neither `command` nor the other program reads.
+/// Returns an error if a variable in `found` has [`PREFIX`], but is read by neither `command`, the operators' command
+/// line nor the tests.
 pub fn check_variables(
     command: &Command,
     found: impl Iterator<Item = String>,
@@ -49,12 +50,12 @@
     }
 }
 
-/// The names of the variables of this process.
+/// Returns the names of the environment variables of this process.
 pub fn variable_names() -> impl Iterator<Item = String> {
     std::env::vars_os().filter_map(|(name, _)| name.into_string().ok())
 }
 
-/// All variables that a command and its subcommands read.
+/// Returns the names of all variables that a command and its subcommands read.
 pub fn variables(command: &Command) -> Vec<String> {
     let own = command.get_arguments().filter_map(|arg| arg.get_env());
     let own = own.filter_map(|name| name.to_str().map(str::to_owned));
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,7 +1,7 @@
-//! The daemon of sorrellock: `entry` takes callers' requests, `beside` stands next to endpoints.
+//! The daemon of sorrellock: `entry` takes callers' requests, `beside` runs beside endpoints and gives them work.
 //!
-//! Both are started by [`cli`] as programs, or by [`entry::process::Entry`] and
-//! [`beside::process::Beside`] within another process, as tests and `sorrellock try` do.
+//! [`cli`] starts both as programs. [`entry::process::Entry`] and [`beside::process::Beside`] start them
+//! within another process, as tests and `sorrellock try` do.
 
 pub mod beside;
 pub mod cli;
--- a/crates/daemon/src/process/config_agent.rs
+++ b/crates/daemon/src/process/config_agent.rs
@@ -1,5 +1,5 @@
-//! The agent of the configuration: the threads that drive its state machine over the links and the
-//! store, and the view in force that all others read without a lock.
+//! The configuration agent: the threads that drive the configuration state machine over the links
+//! and the store, and the view in force that other threads read without a lock.
 
 use crate::process::{Count, Counters, FleetAgent, Journal};
 use arc_swap::ArcSwap;
@@ -21,14 +21,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Messages that wait for the agent.
-const INPUTS: usize = 1024;
-/// How often the state machine is driven if nothing comes.
+/// Maximum number of messages queued for the agent.
+const INPUT_CAPACITY: usize = 1024;
+/// Interval at which the state machine is driven if no message arrives.
 const TICK: Duration = Duration::from_millis(50);
-/// Longest time between two looks whether the store is to be asked.
-const STORE_LOOK: Duration = Duration::from_millis(50);
+/// Maximum time between two checks whether a call to the store is due.
+const MAX_STORE_WAIT: Duration = Duration::from_millis(50);
 
-/// The configuration of a daemon, shared by all of it.
+/// The configuration of a daemon, shared by all its parts.
 pub struct ConfigAgent {
     view: ArcSwap<ConfigView>,
     ready: AtomicBool,
@@ -41,35 +41,35 @@
     journal: Arc<Journal>,
 }
 
-/// What the agent's thread takes over; see [`ConfigAgent::serve`].
+/// The receiver that the agent's thread takes over; see [`ConfigAgent::serve`].
 pub struct ConfigInputs(Receiver<(Peer, ConfigMessage)>);
 
 /// The state of the configuration, for a dump.
 #[derive(Clone, Debug, Serialize)]
 pub struct ConfigStatus {
-    /// All that was written up to this revision of the store is in force.
+    /// The revision of the store up to which everything written is in force.
     pub applied: Revision,
-    /// Whether all is in force that the store and the peers had when the daemon started.
+    /// Whether everything is in force that the store and the peers had when the daemon started.
     pub ready: bool,
     /// Whether this daemon watches the store for its place.
     pub watching: bool,
-    /// What is known of and not had yet.
+    /// Number of claims that are open: announced pages not received yet.
     pub open_claims: usize,
-    /// Pages that are not in force as the store holds them.
+    /// Pages whose version in force differs from the one in the store.
     pub troubles: Troubles,
-    /// The revision in force of each page.
+    /// The revision of each page that is in force.
     pub revisions: BTreeMap<String, Revision>,
 }
 
 impl ConfigAgent {
-    /// An agent without any configuration; nothing happens before [`ConfigAgent::serve`].
+    /// Creates an agent without any configuration; it does nothing before [`ConfigAgent::serve`].
     pub fn new(
         settings: SpreadSettings,
         fleet: Arc<FleetAgent>,
         counters: Arc<Counters>,
         journal: Arc<Journal>,
     ) -> (Arc<ConfigAgent>, ConfigInputs) {
-        let (tx, rx) = bounded(INPUTS);
+        let (tx, rx) = bounded(INPUT_CAPACITY);
         let spread = Spread::new(settings, SystemClock, fleet.me(), rand::random());
         let agent = ConfigAgent {
             view: ArcSwap::default(),
@@ -85,7 +85,7 @@
         (Arc::new(agent), ConfigInputs(rx))
     }
 
-    /// Starts the thread that speaks with the peers, and the one that asks the store, if any.
+    /// Starts the thread that handles messages of peers and, with a store, the one that calls it.
     pub fn serve<L: Link, S: ObjectStore>(
         self: &Arc<Self>,
         inputs: ConfigInputs,
@@ -100,17 +100,17 @@
         }
     }
 
-    /// The configuration in force. Never blocks.
+    /// Returns the configuration in force. Never blocks.
     pub fn view(&self) -> Arc<ConfigView> {
         self.view.load_full()
     }
 
-    /// Whether all is in force that the store and the peers had when the daemon started.
+    /// Returns whether everything is in force that the store and the peers had when the daemon started.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Acquire)
     }
 
-    /// Takes a message of a peer.
+    /// Queues a message from a peer.
     pub fn on_message(&self, from: Peer, message: ConfigMessage) {
         self.counters.count(Count::ConfigMessages);
         if self.inputs.try_send((from, message)).is_err() {
@@ -118,12 +118,12 @@
         }
     }
 
-    /// Ends the threads, as the end of the process does.
+    /// Makes the threads end, as the end of the process would.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Release);
     }
 
-    /// The state, for a dump.
+    /// Returns the state, for a dump.
     pub fn status(&self) -> ConfigStatus {
         let spread = self.spread.lock().unwrap();
         ConfigStatus {
@@ -172,7 +172,7 @@
                 Ok(call) => call,
                 Err(at) => {
                     let wait = at.saturating_duration_since(Instant::now());
-                    thread::sleep(wait.clamp(Duration::from_millis(1), STORE_LOOK));
+                    thread::sleep(wait.clamp(Duration::from_millis(1), MAX_STORE_WAIT));
                     continue;
                 }
             };
@@ -216,7 +216,8 @@
         self.drive(link, |spread| spread.on_store_failure(retry_after));
     }
 
-    /// Does one step, shows what came into force, and sends what is to be sent.
+    /// Runs one step of the state machine, publishes the configuration that came into force, and carries
+    /// out the effects of the step.
     fn drive<L: Link>(&self, link: &L, step: impl FnOnce(&mut Spread<SystemClock>)) {
         let mut spread = self.spread.lock().unwrap();
         let was_ready = spread.is_ready();
@@ -224,7 +225,7 @@
         let effects = spread.take_effects();
         let applied = |effect: &Effect| matches!(effect, Effect::Tell(ConfigEvent::Applied { .. }));
         if effects.iter().any(applied) {
-            // Under the lock, so that no earlier view takes the place of a later one.
+            // Stored under the lock, so that an older view can't overwrite a newer one.
             self.view.store(Arc::new(spread.view().clone()));
         }
         let (ready, announced) = (spread.is_ready(), spread.announced());
@@ -236,7 +237,7 @@
         for effect in effects {
             match effect {
                 Effect::Send { to, message } => self.send(link, to, message),
-                Effect::Tell(event) => self.tell(event, was_ready),
+                Effect::Tell(event) => self.on_event(event, was_ready),
             }
         }
     }
@@ -250,11 +251,11 @@
         }
     }
 
-    fn tell(&self, event: ConfigEvent, was_ready: bool) {
+    fn on_event(&self, event: ConfigEvent, was_ready: bool) {
         match event {
             ConfigEvent::Applied { page, revision, source } => {
                 self.counters.count(Count::PagesApplied);
-                // At the start one line tells of all.
+                // During startup, one line on `ConfigEvent::Ready` replaces a line for each page.
                 if was_ready {
                     self.note("page applied", source, page, format!("at revision {revision}"));
                 }
@@ -291,7 +292,7 @@
     }
 }
 
-/// The pages of a listing; other objects under the prefix are passed over.
+/// Returns the pages of a listing; other objects under the prefix are skipped.
 fn pages_of(listing: &Listing) -> PageListing {
     let page =
         |meta: &sorrellock_ports::api::ObjectMeta| Some((PageId::parse(&meta.key)?, meta.version));
--- a/crates/daemon/src/process/daemon_parts.rs
+++ b/crates/daemon/src/process/daemon_parts.rs
@@ -1,4 +1,4 @@
-//! What an entry and a daemon beside endpoints begin with alike.
+//! The parts that an entry and a daemon beside endpoints have in common.
 
 use crate::process::leads::LeadCx;
 use crate::process::{
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Links to other daemons, the members that are known, the configuration, counters and journal.
+/// The links to other daemons, the agents of membership and configuration, the counters and the journal.
 #[derive(Clone)]
 pub(crate) struct DaemonParts {
     pub(crate) me: Peer,
@@ -26,37 +26,37 @@
     pub(crate) journal: Arc<Journal>,
 }
 
-/// What the parts receive before they are served.
-pub(crate) struct Unserved {
+/// The receiving ends of the parts, until their threads are started.
+pub(crate) struct PendingInputs {
     pub(crate) closed: ClosedLinks,
     pub(crate) members: FleetInputs,
     pub(crate) config: ConfigInputs,
 }
 
 impl DaemonParts {
-    /// Listens for links at `addr`, as a new incarnation. Nothing is served yet.
+    /// Listens for links at `addr`, as a new incarnation. No thread of the agents is started yet.
     pub(crate) fn listen(
         role: DaemonRole,
         place: &Place,
         addr: SocketAddr,
         link_kind: LinkKind,
         spread: SpreadSettings,
-    ) -> Result<(DaemonParts, Unserved)> {
+    ) -> Result<(DaemonParts, PendingInputs)> {
         check_place(place)?;
         let me = Peer { addr, incarnation: draw_incarnation() };
         let counters = Arc::new(Counters::new());
         let journal = Arc::new(Journal::new());
         let cfg = LinkConfig::new(me).with_kind(link_kind);
-        let (link, closed) = AnyLink::listen(cfg).wrap_err("start of the links")?;
+        let (link, closed) = AnyLink::listen(cfg).wrap_err("cannot listen for links")?;
         let (agent, members) =
             FleetAgent::new(me, place.clone(), role, counters.clone(), journal.clone());
         let (config, config_inputs) =
             ConfigAgent::new(spread, agent.clone(), counters.clone(), journal.clone());
         let parts = DaemonParts { me, link, agent, config, counters, journal };
-        Ok((parts, Unserved { closed, members, config: config_inputs }))
+        Ok((parts, PendingInputs { closed, members, config: config_inputs }))
     }
 
-    /// What this daemon leads models with.
+    /// Returns the parts that the thread that leads models uses.
     pub(crate) fn lead_cx(&self, planner: PlannerConfig) -> LeadCx<AnyLink> {
         LeadCx {
             link: self.link.clone(),
--- a/crates/daemon/src/process/fleet_agent.rs
+++ b/crates/daemon/src/process/fleet_agent.rs
@@ -1,5 +1,5 @@
-//! The agent of membership: the thread that drives the state machine over the links, and the view
-//! of the members that all others read without a lock.
+//! The membership agent: the thread that drives the membership state machine over the links, and
+//! the view of the members that other threads read without a lock.
 
 use crate::process::{Count, Counters, Journal};
 use arc_swap::ArcSwap;
@@ -20,14 +20,14 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Messages and requests that wait for the agent.
-const INPUTS: usize = 8192;
-/// Least time between two new words on load alone: an entry's own count is fresher anyway.
-const LOAD_INTERVAL: Duration = Duration::from_secs(10);
-/// How long the last word of a process that ends has to leave it.
-const FAREWELL: Duration = Duration::from_millis(50);
+/// Maximum number of messages and requests queued for the agent.
+const INPUT_CAPACITY: usize = 8192;
+/// Minimum time between two updates that change only the load: an entry's own count is more recent anyway.
+const MIN_LOAD_INTERVAL: Duration = Duration::from_secs(10);
+/// How long a process that ends waits for its last message to be queued, and again for it to be sent.
+const END_SEND_WAIT: Duration = Duration::from_millis(50);
 
-/// What the agent is asked to do.
+/// A message or request for the agent's thread.
 enum Input {
     Message(Peer, FleetMessage),
     Closed(SocketAddr),
@@ -40,10 +40,10 @@
     End(Sender<()>),
 }
 
-/// Called with each new view.
+/// A callback that receives each new view.
 type Listener = Box<dyn Fn(&Arc<MembershipView>) + Send>;
 
-/// The handle of the agent, shared by all of a daemon.
+/// The handle of the agent, shared by all parts of a daemon.
 pub struct FleetAgent {
     me: Peer,
     view: ArcSwap<MembershipView>,
@@ -53,14 +53,14 @@
     journal: Arc<Journal>,
 }
 
-/// What the agent's thread takes over; see [`FleetAgent::serve`].
+/// The inputs and state that the agent's thread takes over; see [`FleetAgent::serve`].
 pub struct FleetInputs {
     inputs: Receiver<Input>,
     membership: Membership<SystemClock>,
 }
 
 impl FleetAgent {
-    /// An agent that knows but its own process; nothing happens before [`FleetAgent::serve`].
+    /// Creates an agent that knows only its own process; it does nothing before [`FleetAgent::serve`].
     pub fn new(
         me: Peer,
         place: Place,
@@ -68,10 +68,10 @@
         counters: Arc<Counters>,
         journal: Arc<Journal>,
     ) -> (Arc<FleetAgent>, FleetInputs) {
-        let fact = first_fact(me, place, role);
+        let fact = initial_fact(me, place, role);
         let membership =
             Membership::new(MembershipConfig::new(), SystemClock, fact, rand::random());
-        let (tx, rx) = bounded(INPUTS);
+        let (tx, rx) = bounded(INPUT_CAPACITY);
         let agent = FleetAgent {
             me,
             view: ArcSwap::from_pointee(membership.view()),
@@ -83,7 +83,7 @@
         (Arc::new(agent), FleetInputs { inputs: rx, membership })
     }
 
-    /// Starts the agent's thread. `endpoints` tells those of the own process, once a tick.
+    /// Starts the agent's thread. It calls `endpoints` once a tick for the endpoints of its own process.
     pub fn serve<L: Link>(
         self: &Arc<Self>,
         inputs: FleetInputs,
@@ -96,7 +96,7 @@
             link,
             endpoints,
             version: 0,
-            load_told: Instant::now(),
+            load_sent_at: Instant::now(),
         };
         thread::Builder::new()
             .name("fleet-agent".into())
@@ -104,58 +104,59 @@
             .expect("a thread can be started");
     }
 
-    /// The members as they are known now. Never blocks.
+    /// Returns the current view of the members. Never blocks.
     pub fn view(&self) -> Arc<MembershipView> {
         self.view.load_full()
     }
 
-    /// This process among its peers.
+    /// Returns the identity of this process among its peers.
     pub fn me(&self) -> Peer {
         self.me
     }
 
-    /// Calls `listener` with each new view, from the agent's thread; it must not block.
+    /// Calls `listener` with the current view, then with each new one from the agent's thread; it must not block.
     pub fn on_change(&self, listener: impl Fn(&Arc<MembershipView>) + Send + 'static) {
         listener(&self.view());
         self.listeners.lock().unwrap().push(Box::new(listener));
     }
 
-    /// Tells the others that all configuration up to `revision` is in force here.
+    /// Announces to the other members that all configuration up to `revision` is in force here.
     pub fn set_applied(&self, revision: Revision) {
-        self.put(Input::Applied(revision));
+        self.enqueue(Input::Applied(revision));
     }
 
-    /// Tells the others which links of this process are slower than they should be.
+    /// Announces to the other members which links of this process are slower than they should be.
     pub fn set_degraded(&self, degraded: Vec<DegradedLink>) {
-        self.put(Input::Degraded(degraded));
+        self.enqueue(Input::Degraded(degraded));
     }
 
-    /// Sends a small message to `count` random live members of the own place.
+    /// Sends a small message to `count` random live members of this process's place.
     pub fn send_to_place(&self, count: usize, message: Message) {
-        self.put(Input::ToPlace(count, message));
+        self.enqueue(Input::ToPlace(count, message));
     }
 
     /// Sends a small message to one relay of each other place.
     pub fn send_to_relays(&self, message: Message) {
-        self.put(Input::ToRelays(message));
+        self.enqueue(Input::ToRelays(message));
     }
 
-    /// Takes a message of another member.
+    /// Queues a message from another member.
     pub fn on_message(&self, from: Peer, message: FleetMessage) {
-        self.put(Input::Message(from, message));
+        self.enqueue(Input::Message(from, message));
     }
 
-    /// A link closed, or could not be opened.
+    /// Reports that a link was closed, or could not be opened.
     pub fn on_closed(&self, peer: SocketAddr) {
-        self.put(Input::Closed(peer));
+        self.enqueue(Input::Closed(peer));
     }
 
-    /// The platform's list was read.
+    /// Reports the platform's list of instances.
     pub fn on_list(&self, listed: Vec<Listed>) {
-        self.put(Input::Listed(listed));
+        self.enqueue(Input::Listed(listed));
     }
 
-    /// The platform's list wasn't read; `is_first` in a row. The journal tells of that one only.
+    /// Reports that the platform's list could not be read. Of consecutive failures, only the first
+    /// (`is_first`) is written to the journal.
     pub fn on_list_failed(&self, err: &ListError, is_first: bool) {
         self.counters.count(Count::ListFailures);
         if is_first {
@@ -163,21 +164,21 @@
         }
     }
 
-    /// Tells the others at once that this process takes no new work.
+    /// Announces to the other members at once that this process takes no new work.
     pub fn leave(&self) {
-        self.put(Input::Leave);
+        self.enqueue(Input::Leave);
     }
 
-    /// Tells the others that this process ends, and gives that a moment to get out.
+    /// Announces to the other members that this process ends, and waits a moment for the message to be sent.
     pub fn end(&self) {
         let (tx, rx) = bounded(1);
-        self.put(Input::End(tx));
-        if rx.recv_timeout(FAREWELL).is_ok() {
-            thread::sleep(FAREWELL);
+        self.enqueue(Input::End(tx));
+        if rx.recv_timeout(END_SEND_WAIT).is_ok() {
+            thread::sleep(END_SEND_WAIT);
         }
     }
 
-    fn put(&self, input: Input) {
+    fn enqueue(&self, input: Input) {
         if self.inputs.try_send(input).is_err() {
             self.counters.count(Count::FleetInputsDropped);
         }
@@ -190,14 +191,14 @@
     }
 }
 
-/// The agent's thread.
+/// The state of the agent's thread.
 struct Driver<L, F> {
     agent: Arc<FleetAgent>,
     membership: Membership<SystemClock>,
     link: Arc<L>,
     endpoints: F,
     version: u64,
-    load_told: Instant,
+    load_sent_at: Instant,
 }
 
 impl<L: Link, F: Fn() -> Vec<EndpointFact>> Driver<L, F> {
@@ -205,9 +206,9 @@
         let mut next = Instant::now();
         loop {
             match inputs.recv_deadline(next) {
-                Ok(input) => self.take(input),
+                Ok(input) => self.on_input(input),
                 Err(RecvTimeoutError::Timeout) => {
-                    self.tell_endpoints();
+                    self.announce_endpoints();
                     self.membership.tick();
                     next = Instant::now() + MembershipConfig::INTERVAL;
                 }
@@ -217,7 +218,7 @@
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn on_input(&mut self, input: Input) {
         match input {
             Input::Message(from, message) => {
                 self.agent.counters.count(Count::FleetMessages);
@@ -262,23 +263,25 @@
         }
     }
 
-    /// Tells a change of what the endpoints are at once, and of their load now and then.
-    fn tell_endpoints(&mut self) {
+    /// Announces a change of the endpoints or their roles at once, and of their load alone at most
+    /// every `MIN_LOAD_INTERVAL`.
+    fn announce_endpoints(&mut self) {
         let endpoints = (self.endpoints)();
         let known = &self.membership.fact().endpoints;
         let mut pairs = known.iter().zip(&endpoints);
         let same_roles =
             known.len() == endpoints.len() && pairs.all(|(a, b)| a.is_same_but_for_load(b));
-        let same_load = known.iter().zip(&endpoints).all(|(a, b)| band(a.load) == band(b.load));
-        let load_due = self.load_told.elapsed() >= LOAD_INTERVAL;
+        let same_load =
+            known.iter().zip(&endpoints).all(|(a, b)| load_band(a.load) == load_band(b.load));
+        let load_due = self.load_sent_at.elapsed() >= MIN_LOAD_INTERVAL;
         if same_roles && (same_load || !load_due) {
             return;
         }
-        self.load_told = Instant::now();
+        self.load_sent_at = Instant::now();
         self.membership.change_self(|fact| fact.endpoints = endpoints);
     }
 
-    /// Sends what is to be sent, notes what is to be noted, and shows what is new.
+    /// Sends the pending messages, writes the pending events to the journal, and publishes a changed view.
     fn flush(&mut self) {
         let output = self.membership.take_output();
         for (to, message) in output.sends {
@@ -295,12 +298,12 @@
     }
 }
 
-/// Loads of one band count as the same.
-fn band(load: u32) -> u32 {
+/// Returns the power-of-two band of a load. A change within a band is not announced.
+fn load_band(load: u32) -> u32 {
     u32::BITS - load.leading_zeros()
 }
 
-fn first_fact(me: Peer, place: Place, role: DaemonRole) -> InstanceFact {
+fn initial_fact(me: Peer, place: Place, role: DaemonRole) -> InstanceFact {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     InstanceFact {
         peer: me,
@@ -316,18 +319,18 @@
     }
 }
 
-/// Why a place's name can't be used, if so.
+/// Returns an error if the name of a place is empty or too long.
 pub fn check_place(place: &str) -> Result<(), eyre::Report> {
-    let longest = MAX_PLACE_BYTES;
+    let max_bytes = MAX_PLACE_BYTES;
     eyre::ensure!(!place.is_empty(), "place is empty; name the place of this instance");
     eyre::ensure!(
-        place.len() <= longest,
-        "place `{place}` is longer than {longest} bytes; take a shorter name"
+        place.len() <= max_bytes,
+        "place `{place}` is longer than {max_bytes} bytes; take a shorter name"
     );
     Ok(())
 }
 
-/// How many of the live members of each place there are, for dumps.
+/// Returns the number of live members of each place, for dumps.
 pub fn live_by_place(view: &MembershipView) -> BTreeMap<Place, usize> {
     let mut found = BTreeMap::new();
     for fact in view.live() {
--- a/crates/daemon/src/process/fleet_list.rs
+++ b/crates/daemon/src/process/fleet_list.rs
@@ -1,4 +1,5 @@
-//! Reads the platform's list of instances: a hint of whom to knock at, for the few that need it.
+//! Reads the platform's list of instances: hints at which addresses to ping, for the few daemons that
+//! need them.
 
 use crate::process::FleetAgent;
 use sorrellock_core::process::membership::{Listed, MembershipView};
@@ -7,23 +8,23 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a process that knows nobody reads the list.
-const ALONE: Duration = Duration::from_millis(250);
-/// How often the readers of a place read it, and every entry, which sends work by it.
-const READER: Duration = Duration::from_secs(2);
-/// How often all others read it.
-const OTHERS: Duration = Duration::from_secs(60);
-/// Time for one reading. A silence, or a connection that is silent for good, costs a process that knows nobody no more than
-/// that, and a reader not even its next reading.
+/// Interval at which a process that knows no other live member reads the list.
+const STANDALONE_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which the readers of a place and all entries read the list. Entries send work by it.
+const READER_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval at which all other processes read the list.
+const DEFAULT_INTERVAL: Duration = Duration::from_secs(60);
+/// Timeout of one read of the list. A list that doesn't answer, or a connection that stays silent, costs a process that
+/// knows no other member at most this time. A reader doesn't even miss its next read, as its interval is longer.
 pub const LIST_TIMEOUT: Duration = Duration::from_secs(1);
-/// Members of a place that read the list often.
+/// Number of members of a place that read the list often.
 const READERS: usize = 2;
-/// What readers are drawn by.
+/// The key by which rendezvous hashing picks the readers of a place.
 const READER_KEY: &[u8] = b"list";
-/// How often it is looked whether a reading is due.
-const POLL: Duration = Duration::from_millis(250);
+/// Interval between checks whether a read is due.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Starts the thread that reads the list and hands it to the agent.
+/// Starts the thread that reads the list and passes it to the agent.
 pub fn read_list<I: InstanceList>(agent: Arc<FleetAgent>, list: I, is_entry: bool) {
     let run = move || {
         let mut last: Option<Instant> = None;
@@ -39,7 +40,7 @@
                     Err(err) => agent.on_list_failed(&err, !was_failing),
                 }
             }
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
     };
     thread::Builder::new().name("fleet-list".into()).spawn(run).expect("a thread can be started");
@@ -47,10 +48,10 @@
 
 fn interval(view: &MembershipView, is_entry: bool) -> Duration {
     if view.live().count() <= 1 {
-        return ALONE;
+        return STANDALONE_INTERVAL;
     }
     let is_reader = view.named_in(READER_KEY, &view.place, READERS).contains(&view.me);
-    if is_reader || is_entry { READER } else { OTHERS }
+    if is_reader || is_entry { READER_INTERVAL } else { DEFAULT_INTERVAL }
 }
 
 fn listed(instance: &Instance) -> Listed {
--- a/crates/daemon/src/process/journal.rs
+++ b/crates/daemon/src/process/journal.rs
@@ -1,5 +1,5 @@
-//! The journal: the last changes of state, each with cause, peer and step, kept in memory for
-//! dumps and written to the log as they happen.
+//! The journal: the most recent state changes, each with its cause, peer and step. They are kept in
+//! memory for dumps, and logged as they happen.
 
 use serde::Serialize;
 use std::collections::VecDeque;
@@ -7,37 +7,37 @@
 use std::sync::Mutex;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// How many changes are kept.
+/// Maximum number of changes kept; the oldest is dropped first.
 pub const JOURNAL_LENGTH: usize = 512;
 
-/// A change of state.
+/// A state change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Entry {
-    /// Milliseconds since the Unix epoch, for people only.
+    /// Milliseconds since the Unix epoch, for display only.
     pub at_ms: u64,
     /// What changed, such as `instance suspected` or `page applied`.
     pub what: &'static str,
-    /// The peer that it concerns, if any.
+    /// The peer concerned, if any.
     pub peer: Option<SocketAddr>,
-    /// The step at which it arose.
+    /// The step in which the change happened.
     pub step: &'static str,
-    /// Why, in a plain sentence.
+    /// The cause, in one sentence.
     pub cause: String,
 }
 
-/// The last changes of state of a process.
+/// The most recent state changes of a process.
 #[derive(Debug, Default)]
 pub struct Journal {
     entries: Mutex<VecDeque<Entry>>,
 }
 
 impl Journal {
-    /// An empty journal.
+    /// Creates an empty journal.
     pub fn new() -> Journal {
         Journal::default()
     }
 
-    /// Notes a change, and logs it as one line.
+    /// Records a change, and logs it as one line.
     pub fn note(
         &self,
         what: &'static str,
@@ -58,7 +58,7 @@
         entries.push_back(Entry { at_ms: now.as_millis() as u64, what, peer, step, cause });
     }
 
-    /// The changes kept, oldest first.
+    /// Returns the changes kept, oldest first.
     pub fn entries(&self) -> Vec<Entry> {
         self.entries.lock().unwrap().iter().cloned().collect()
     }
--- a/crates/daemon/src/process/leads/driver.rs
+++ b/crates/daemon/src/process/leads/driver.rs
@@ -1,4 +1,4 @@
-//! The thread that leads: elections, a plan, and its orders.
+//! The thread that leads models: it takes part in elections, plans, and sends orders.
 
 use crate::process::leads::model_lead::LeadChange;
 use crate::process::leads::{EngineTable, LeadCx, ModelLead};
@@ -17,13 +17,14 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// How often the members are looked at and a plan is made.
-const INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which the members are read and a plan is made.
+const PLAN_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a daemon that starts leads nothing: alone, as it is at first, it would be named for all.
+/// How long a daemon leads nothing after its start. At first it knows no other member, so rendezvous
+/// hashing would name it the lead of every model.
 const START_WAIT: Duration = Duration::from_secs(3);
 
-/// The thread that leads.
+/// The state of the thread that leads models.
 pub(super) struct Driver<S, L> {
     store: S,
     cx: LeadCx<L>,
@@ -52,14 +53,14 @@
             match self.answers.recv_deadline(next) {
                 Ok((from, answer)) => self.on_answer(from, &answer),
                 Err(_) => {
-                    self.look();
-                    next = Instant::now() + INTERVAL;
+                    self.replan();
+                    next = Instant::now() + PLAN_INTERVAL;
                 }
             }
         }
     }
 
-    fn look(&mut self) {
+    fn replan(&mut self) {
         if !self.cx.config.is_ready() {
             return;
         }
@@ -72,7 +73,7 @@
             return self.planner.observe(&engines.slots);
         }
         for order in self.planner.plan(&engines.slots, &demands) {
-            self.give(&engines, &order);
+            self.send_order(&engines, &order);
         }
     }
 
@@ -99,8 +100,8 @@
         }
     }
 
-    /// Gives an order, if this daemon leads its model; another lead makes the same plan.
-    fn give(&mut self, engines: &EngineTable, order: &Move) {
+    /// Sends an order if this daemon leads its model. For other models, their leads make the same plan.
+    fn send_order(&mut self, engines: &EngineTable, order: &Move) {
         let fence = self.leads.get(&order.to.model).and_then(ModelLead::order_fence);
         let (Some(fence), Some(daemon)) = (fence, engines.daemon(&order.endpoint)) else { return };
         self.book.on_given(order);
@@ -136,7 +137,8 @@
     }
 }
 
-/// What the pipelines need whose engines get orders; of two that share a model, the first counts.
+/// Returns the demands of the pipelines whose engines get orders. Of pipelines that share a model,
+/// the first counts.
 fn demands(config: &ConfigAgent) -> Vec<Demand> {
     let mut demands: Vec<Demand> = Vec::new();
     for pipeline in config.view().pipelines().iter().filter(|pipeline| pipeline.stages > 0) {
--- a/crates/daemon/src/process/leads/engine_table.rs
+++ b/crates/daemon/src/process/leads/engine_table.rs
@@ -1,4 +1,4 @@
-//! The engines as the planner is to see them, and the daemons beside them.
+//! The engines as input for the planner, and the daemons beside them.
 
 use sorrellock_core::id::EndpointId;
 use sorrellock_core::process::membership::MembershipView;
@@ -7,17 +7,17 @@
 use sorrellock_core::request::Peer;
 use std::collections::HashMap;
 
-/// The engines as the planner is to see them, and the daemons beside them.
+/// The engines as input for the planner, and the daemons beside them.
 pub(super) struct EngineTable {
     pub(super) slots: Vec<EngineSlot>,
     daemons: HashMap<EndpointId, Peer>,
 }
 
 impl EngineTable {
-    /// The engines of the live members, but for those that hold a model that nobody plans for.
+    /// Collects the engines of the live members, except those that hold a model without a demand.
     pub(super) fn new(members: &MembershipView, demands: &[Demand]) -> EngineTable {
         let mut live: Vec<_> = members.live_as(DaemonRole::Beside).collect();
-        // After a restart, the later of two words on an engine is the true one.
+        // After a restart, two instances may report the same engine; the later generation overwrites the earlier.
         live.sort_by_key(|instance| instance.generation);
         let mut slots = HashMap::new();
         let mut daemons = HashMap::new();
@@ -32,12 +32,12 @@
             held.is_none_or(|held| demands.iter().any(|demand| demand.model == *held))
         };
         let mut slots: Vec<_> = slots.into_values().filter(is_planned).collect();
-        // All who know the same members make the same plan.
+        // Sorted, so that daemons with the same view of the members make the same plan.
         slots.sort_by(|a, b| a.endpoint.cmp(&b.endpoint));
         EngineTable { slots, daemons }
     }
 
-    /// The daemon beside an engine.
+    /// Returns the daemon beside an engine.
     pub(super) fn daemon(&self, endpoint: &EndpointId) -> Option<Peer> {
         self.daemons.get(endpoint).copied()
     }
--- a/crates/daemon/src/process/leads/lead_agent.rs
+++ b/crates/daemon/src/process/leads/lead_agent.rs
@@ -1,4 +1,4 @@
-//! The handle of a daemon's part in leading models.
+//! The handle of the thread that leads models.
 
 use crate::process::leads::Driver;
 use crate::process::{ConfigAgent, Count, Counters, FleetAgent, Journal};
@@ -12,26 +12,26 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 
-/// Answers that wait for the lead's thread.
-const ANSWERS: usize = 1024;
+/// Maximum number of answers queued for the lead's thread.
+const ANSWER_CAPACITY: usize = 1024;
 
-/// What a daemon's part in leading models works with.
+/// The parts of a daemon that the thread that leads models uses.
 pub struct LeadCx<L> {
     /// The links to the daemons beside engines.
     pub link: Arc<L>,
-    /// The members.
+    /// The membership agent.
     pub fleet: Arc<FleetAgent>,
-    /// The configuration in force.
+    /// The configuration agent.
     pub config: Arc<ConfigAgent>,
     /// The counters of the daemon.
     pub counters: Arc<Counters>,
     /// The journal of the daemon.
     pub journal: Arc<Journal>,
-    /// How orders are planned.
+    /// The settings of the planner.
     pub planner: PlannerConfig,
 }
 
-/// A daemon's part in leading models: it leads those for which rendezvous hashing names it.
+/// The handle of the thread that leads models: those for which rendezvous hashing names this daemon.
 pub struct LeadAgent {
     answers: Sender<(Peer, OrderAnswer)>,
     stopped: Arc<AtomicBool>,
@@ -41,9 +41,9 @@
 impl LeadAgent {
     /// Starts the thread.
     pub fn start<S: ObjectStore, L: Link>(store: S, cx: LeadCx<L>) -> Arc<LeadAgent> {
-        let (tx, rx) = bounded(ANSWERS);
+        let (tx, rx) = bounded(ANSWER_CAPACITY);
         let stopped = Arc::new(AtomicBool::new(false));
-        let desk =
+        let agent =
             LeadAgent { answers: tx, stopped: stopped.clone(), counters: cx.counters.clone() };
         let store = store.with_call_limit(LEAD_CALL_LIMIT);
         let driver = Driver::new(store, cx, rx, stopped);
@@ -51,17 +51,17 @@
             .name("leads".into())
             .spawn(move || driver.run())
             .expect("a thread can be started");
-        Arc::new(desk)
+        Arc::new(agent)
     }
 
-    /// Takes the answer to an order.
+    /// Queues the answer to an order.
     pub fn on_answer(&self, from: Peer, answer: OrderAnswer) {
         if self.answers.try_send((from, answer)).is_err() {
             self.counters.count(Count::LateAnswers);
         }
     }
 
-    /// Ends the thread, as the end of the process does.
+    /// Makes the thread end, as the end of the process would.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Release);
     }
--- a/crates/daemon/src/process/leads/mod.rs
+++ b/crates/daemon/src/process/leads/mod.rs
@@ -1,4 +1,4 @@
-//! The leads: who gives orders to the engines, and which.
+//! The leads of models: their election, and the orders that they send to engines.
 
 mod driver;
 mod engine_table;
@@ -11,7 +11,7 @@
 use engine_table::EngineTable;
 use model_lead::ModelLead;
 
-/// Where the lead of a model is written in the store.
+/// Returns the key in the store of the record that names a model's lead.
 pub fn lead_key(model: &str) -> String {
     format!("leads/{model}")
 }
--- a/crates/daemon/src/process/leads/model_lead.rs
+++ b/crates/daemon/src/process/leads/model_lead.rs
@@ -1,4 +1,5 @@
-//! One daemon's part in leading one model: what the election asks of the store.
+//! One daemon's part in the election of one model's lead: makes the calls to the store that the
+//! election requests.
 
 use crate::process::leads::lead_key;
 use sorrellock_core::clock::SystemClock;
@@ -6,40 +7,40 @@
 use sorrellock_core::process::orders::{LeadAction, LeadElection, LeadRecord, PutResult};
 use sorrellock_ports::api::{ObjectStore, Precondition, StoreError};
 
-/// The most calls of the store in a row for one model.
-const MAX_CALLS: usize = 4;
+/// Maximum number of consecutive calls to the store for one model.
+const MAX_STORE_CALLS: usize = 4;
 
-/// A change of the lead as this daemon sees it.
+/// A change of whether this daemon leads a model.
 pub(super) enum LeadChange {
-    /// This daemon leads now.
+    /// This daemon became the lead.
     Taken(Fence),
-    /// It does so no more.
+    /// This daemon is no longer the lead.
     Lost(Fence),
 }
 
-/// One daemon's part in leading one model.
+/// One daemon's part in the election of one model's lead.
 pub(super) struct ModelLead {
     key: String,
     me: Incarnation,
     election: LeadElection<SystemClock>,
-    led: Option<Fence>,
+    led_fence: Option<Fence>,
 }
 
 impl ModelLead {
     pub(super) fn new(model: &ModelId, me: Incarnation) -> ModelLead {
         let election = LeadElection::new(SystemClock, me);
-        ModelLead { key: lead_key(model), me, election, led: None }
+        ModelLead { key: lead_key(model), me, election, led_fence: None }
     }
 
-    /// The fencing number for orders, once this daemon has led for a moment.
+    /// Returns the fencing number for orders, once the election allows this daemon to send them.
     pub(super) fn order_fence(&self) -> Option<Fence> {
         self.election.order_fence()
     }
 
-    /// Does what the election asks for now, and tells what changed.
+    /// Makes the calls that the election requests now, and returns what changed.
     pub(super) fn drive<S: ObjectStore>(&mut self, store: &S, named: bool) -> Option<LeadChange> {
         self.election.on_named(named);
-        for _ in 0..MAX_CALLS {
+        for _ in 0..MAX_STORE_CALLS {
             match self.election.next() {
                 LeadAction::Wait(_) => break,
                 LeadAction::Read => self.read(store),
@@ -47,8 +48,8 @@
             }
         }
         let now = self.election.fence();
-        let before = std::mem::replace(&mut self.led, now);
-        match (before, self.led) {
+        let before = std::mem::replace(&mut self.led_fence, now);
+        match (before, self.led_fence) {
             (before, Some(fence)) if before != Some(fence) => Some(LeadChange::Taken(fence)),
             (Some(fence), None) => Some(LeadChange::Lost(fence)),
             _ => None,
@@ -58,7 +59,7 @@
     fn read<S: ObjectStore>(&mut self, store: &S) {
         match store.get(&self.key) {
             Ok(Some(object)) => {
-                // A record that can't be read is replaced, as if it named nobody.
+                // A record that can't be parsed is replaced, as if it named no lead.
                 let record = serde_json::from_slice(&object.value).ok();
                 self.election.on_read(record, object.version);
             }
--- a/crates/daemon/src/process/ledger/ledger_holders.rs
+++ b/crates/daemon/src/process/ledger/ledger_holders.rs
@@ -1,4 +1,4 @@
-//! The shards that this daemon keeps.
+//! The ledger shards that this daemon holds.
 
 use super::shard_driver::AnswerSink;
 use super::{ShardDriver, StoreCaller};
@@ -15,22 +15,22 @@
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
 
-/// How long one call to the store may take; past it its answer counts as lost.
+/// Timeout of one call to the store; after it, the answer counts as lost.
 pub const LEDGER_STORE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Sends a holder's answers over a link. One that can't be sent is lost; the entry claims again.
+/// Sends a holder's answers over a link. An answer that can't be sent is dropped; the entry repeats its claim.
 pub struct LinkSink<L>(Arc<L>);
 
 impl<L: Link> AnswerSink for LinkSink<L> {
-    fn answer(&self, answered: ClaimReply) {
-        let ClaimReply { to, owner, after, answer } = answered;
+    fn answer(&self, reply: ClaimReply) {
+        let ClaimReply { to, owner, after, answer } = reply;
         let message = LedgerMessage::Answer { owner, after, answer };
         let _ = self.0.send(to, Message::Ledger(message));
     }
 }
 
-/// The shards that this daemon keeps: each from the first claim that comes for it. Whether the
-/// daemon is the one named for a shard is not asked: two holders of a shard are safe.
+/// The ledger shards that this daemon holds, each started by the first claim for it. It is not checked
+/// whether this daemon is the one named for the shard: two holders of one shard are safe.
 pub struct LedgerHolders<S, A> {
     me: Incarnation,
     store: Arc<S>,
@@ -40,36 +40,36 @@
 }
 
 impl<S: ObjectStore, L: Link> LedgerHolders<S, LinkSink<L>> {
-    /// Keeps shards in `store`, and answers over `link`.
+    /// Creates holders that store their shards in `store` and answer over `link`.
     pub fn over_link(me: Incarnation, store: S, link: Arc<L>, cfg: HolderConfig) -> Self {
         LedgerHolders::new(me, store, LinkSink(link), cfg)
     }
 }
 
 impl<S: ObjectStore, A: AnswerSink> LedgerHolders<S, A> {
-    /// Keeps shards in `store`, and answers to `sink`.
+    /// Creates holders that store their shards in `store` and answer to `sink`.
     pub fn new(me: Incarnation, store: S, sink: A, cfg: HolderConfig) -> LedgerHolders<S, A> {
         let shards = (0..SHARDS).map(|_| OnceLock::new()).collect();
         LedgerHolders { me, store: Arc::new(store), sink: Arc::new(sink), cfg, shards }
     }
 
-    /// Takes a claim; the answer goes to `from`.
+    /// Passes a claim to the holder of its shard; the answer goes to `from`.
     pub fn claim(&self, from: Peer, claim: Claim) {
         self.shard(shard_of(&claim.key, SHARDS)).claim(from, claim);
     }
 
-    /// What the holders of all shards kept here have counted.
+    /// Returns the counts of each shard held here.
     pub fn counts(&self) -> Vec<(Shard, HolderCounts)> {
-        self.kept().map(|(shard, driver)| (shard, driver.with(Holder::counts))).collect()
+        self.held().map(|(shard, driver)| (shard, driver.with(Holder::counts))).collect()
     }
 
-    /// State of the shards, for dumps.
+    /// Returns the state of the shards, for dumps.
     pub fn dump(&self) -> Value {
-        let shards = self.kept().map(|(shard, driver)| driver.with(|holder| dump(shard, holder)));
+        let shards = self.held().map(|(shard, driver)| driver.with(|holder| dump(shard, holder)));
         shards.collect()
     }
 
-    fn kept(&self) -> impl Iterator<Item = (Shard, &Arc<ShardDriver<S, A>>)> {
+    fn held(&self) -> impl Iterator<Item = (Shard, &Arc<ShardDriver<S, A>>)> {
         let shards = self.shards.iter().enumerate();
         shards.filter_map(|(shard, driver)| Some((shard as Shard, driver.get()?)))
     }
--- a/crates/daemon/src/process/ledger/mod.rs
+++ b/crates/daemon/src/process/ledger/mod.rs
@@ -1,4 +1,4 @@
-//! The holders of the run-once ledger's shards: any daemon keeps the shards that it is named for.
+//! The holders of the run-once ledger's shards: any daemon holds the shards for which it is named.
 
 mod ledger_holders;
 mod shard_driver;
--- a/crates/daemon/src/process/ledger/shard_driver.rs
+++ b/crates/daemon/src/process/ledger/shard_driver.rs
@@ -1,4 +1,4 @@
-//! Drives the holder of one shard: a thread that makes its calls to the store, one at a time.
+//! Drives the holder of one shard: a thread makes the holder's calls to the store, one at a time.
 
 use super::StoreCaller;
 use sorrellock_core::clock::{Clock, SystemClock};
@@ -9,16 +9,16 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// How often a driver with nothing to do looks whether its process still has it.
-const IDLE: Duration = Duration::from_secs(1);
+/// Maximum wait of an idle driver thread, after which it checks whether the driver was dropped.
+const MAX_IDLE_WAIT: Duration = Duration::from_secs(1);
 
-/// Takes the answers of a holder to who claimed.
+/// Delivers a holder's answers to the claimants.
 pub trait AnswerSink: Send + Sync + 'static {
-    /// Sends an answer.
-    fn answer(&self, answered: ClaimReply);
+    /// Delivers an answer.
+    fn answer(&self, reply: ClaimReply);
 }
 
-/// Drives the holder of one shard.
+/// The holder of one shard with the thread that makes its calls to the store.
 pub struct ShardDriver<S, A> {
     holder: Mutex<Holder<SystemClock>>,
     claimed: Condvar,
@@ -27,7 +27,7 @@
 }
 
 impl<S: ObjectStore, A: AnswerSink> ShardDriver<S, A> {
-    /// Starts the thread of a holder. It ends soon after the driver is dropped.
+    /// Starts the thread of a holder. The thread ends soon after the driver is dropped.
     pub fn start(
         holder: Holder<SystemClock>,
         store: StoreCaller<S>,
@@ -43,7 +43,7 @@
         driver
     }
 
-    /// Takes a claim.
+    /// Passes a claim to the holder, and delivers the answers that are ready.
     pub fn claim(&self, from: Peer, claim: Claim) {
         let mut holder = self.holder();
         holder.claim(from, claim);
@@ -53,12 +53,12 @@
         self.send(answers);
     }
 
-    /// Looks at the holder.
-    pub fn with<T>(&self, look: impl FnOnce(&Holder<SystemClock>) -> T) -> T {
-        look(&self.holder())
+    /// Calls `read` with the holder, under its lock, and returns the result.
+    pub fn with<T>(&self, read: impl FnOnce(&Holder<SystemClock>) -> T) -> T {
+        read(&self.holder())
     }
 
-    /// One call to the store, or a wait.
+    /// Makes the holder's next call to the store, or waits for a claim or the holder's deadline.
     fn step(&self) {
         let mut holder = self.holder();
         let next = holder.next(now_ms());
@@ -75,10 +75,10 @@
                 self.send(answers);
             }
             HolderStep::WaitUntil(at) => {
-                let wait = at.saturating_duration_since(SystemClock.now()).min(IDLE);
+                let wait = at.saturating_duration_since(SystemClock.now()).min(MAX_IDLE_WAIT);
                 self.wait(holder, answers, wait);
             }
-            HolderStep::Idle => self.wait(holder, answers, IDLE),
+            HolderStep::Idle => self.wait(holder, answers, MAX_IDLE_WAIT),
         }
     }
 
@@ -97,7 +97,7 @@
     }
 
     fn send(&self, answers: Vec<ClaimReply>) {
-        answers.into_iter().for_each(|answered| self.sink.answer(answered));
+        answers.into_iter().for_each(|reply| self.sink.answer(reply));
     }
 
     fn holder(&self) -> MutexGuard<'_, Holder<SystemClock>> {
--- a/crates/daemon/src/process/ledger/store_caller.rs
+++ b/crates/daemon/src/process/ledger/store_caller.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::thread;
 
-/// Objects of one call that are read side by side.
-const READERS: usize = 8;
+/// Maximum number of threads that read the objects of one call in parallel.
+const MAX_READERS: usize = 8;
 
 /// Makes a holder's calls to the platform's store.
 pub struct StoreCaller<S> {
@@ -14,12 +14,12 @@
 }
 
 impl<S: ObjectStore> StoreCaller<S> {
-    /// Calls `store`.
+    /// Creates a caller of `store`.
     pub fn new(store: Arc<S>) -> StoreCaller<S> {
         StoreCaller { store }
     }
 
-    /// Makes one call. It blocks for as long as the store takes.
+    /// Makes one call. Blocks until the store answers or the call fails.
     pub fn call(&self, call: &StoreCall) -> StoreReply {
         let reply = match call {
             StoreCall::Read { keys } => self.read_all(keys).map(StoreReply::Objects),
@@ -34,14 +34,14 @@
                 self.store.delete(key, *version).map(|()| StoreReply::Deleted)
             }
         };
-        reply.unwrap_or_else(|err| failed(&err))
+        reply.unwrap_or_else(|err| error_reply(&err))
     }
 
     fn read_all(&self, keys: &[String]) -> Result<Vec<ReadObject>, StoreError> {
         if keys.len() <= 1 {
             return keys.iter().map(|key| self.read(key)).collect();
         }
-        let share = keys.len().div_ceil(READERS);
+        let share = keys.len().div_ceil(MAX_READERS);
         thread::scope(|scope| {
             let read = |keys: &[String]| keys.iter().map(|key| self.read(key)).collect::<Vec<_>>();
             let readers: Vec<_> =
@@ -64,8 +64,8 @@
     }
 }
 
-/// Whatever doesn't say that nothing was written counts as an answer lost.
-fn failed(err: &StoreError) -> StoreReply {
+/// Converts an error to a reply. An error that doesn't rule out that the write happened counts as a lost answer.
+fn error_reply(err: &StoreError) -> StoreReply {
     match err {
         StoreError::Conflict { found } => StoreReply::Conflict { found: *found },
         StoreError::RateLimited { retry_after } => {
--- a/crates/daemon/src/process/log.rs
+++ b/crates/daemon/src/process/log.rs
@@ -1,4 +1,4 @@
-//! Logs: lines for changes of state only, for people or as JSON.
+//! The log: lines for state changes only, as text or JSON.
 
 use spdlog::formatter::{Formatter, FullFormatter, JsonFormatter};
 use spdlog::sink::{SinkPropAccess, StdStreamSink};
@@ -6,14 +6,14 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// How log lines look.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text.
     Human,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// No lines at all.
+    /// No log lines.
     Off,
 }
 
@@ -25,13 +25,13 @@
             "human" => Ok(LogFormat::Human),
             "json" => Ok(LogFormat::Json),
             "off" => Ok(LogFormat::Off),
-            other => Err(format!("`{other}` is no log format; take human, json or off")),
+            other => Err(format!("`{other}` is not a log format; use human, json or off")),
         }
     }
 }
 
-/// Sets up the log of this process. Lines go to standard error; a line that can't be written is
-/// lost, and stops nothing.
+/// Sets up the log of this process on standard error. A line that can't be written is dropped without
+/// an error.
 pub fn set_up_log(format: LogFormat) {
     spdlog::set_default_logger(Arc::new(new_logger(format)));
 }
@@ -41,12 +41,12 @@
         LogFormat::Off => LevelFilter::Off,
         LogFormat::Human | LogFormat::Json => LevelFilter::MoreSevereEqual(Level::Info),
     };
-    let sink = StdStreamSink::builder().stderr().error_handler(lose_line);
+    let sink = StdStreamSink::builder().stderr().error_handler(ignore_log_error);
     let sink = sink.build().expect("the sink's settings are complete");
     sink.set_formatter(new_formatter(format));
     let mut logger = Logger::builder();
     logger.sink(Arc::new(sink)).level_filter(level);
-    logger.flush_level_filter(LevelFilter::All).error_handler(lose_line);
+    logger.flush_level_filter(LevelFilter::All).error_handler(ignore_log_error);
     logger.build().expect("the logger's settings are complete")
 }
 
@@ -57,5 +57,5 @@
     }
 }
 
-/// A failure of the log must not stop what is logged.
-fn lose_line(_: spdlog::Error) {}
+/// Ignores an error of the log, which must not affect the code that logs.
+fn ignore_log_error(_: spdlog::Error) {}
--- a/crates/daemon/src/process/metrics.rs
+++ b/crates/daemon/src/process/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics: the counters, sent by cadence once a second. A failure never stops a request.
+//! Metrics: the counters, sent to a StatsD server once a second. A failure to send never affects a request.
 
 use crate::process::{Count, Counters};
 use cadence::{Counted, MetricError, NopMetricSink, StatsdClient, UdpMetricSink};
@@ -7,28 +7,27 @@
 use std::thread;
 use std::time::Duration;
 
-/// Prefix of all metrics.
+/// Prefix of all metric names.
 const PREFIX: &str = "sorrellock";
-/// How often metrics are sent.
+/// Interval between two sends.
 const INTERVAL: Duration = Duration::from_secs(1);
 
-/// All metrics as a table in Markdown: name, unit, and what it counts.
+/// Returns a Markdown table of all metrics: name, unit and description.
 pub fn metrics_page() -> String {
-    let line =
-        |count: &Count| format!("| `{PREFIX}.{}` | count | {} |\n", count.name(), count.meaning());
+    let line = |count: &Count| {
+        format!("| `{PREFIX}.{}` | count | {} |\n", count.name(), count.description())
+    };
     let head = "| metric | unit | what it counts |\n|---|---|---|\n";
     head.to_owned() + &Count::ALL.iter().map(line).collect::<String>()
 }
 
-/// Sends the growth of each counter to `to`, once a second, from a thread of its own.
+/// Starts a thread that sends the increase of each counter to `to` once a second.
 pub fn send_metrics(counters: Arc<Counters>, to: Option<SocketAddr>) -> Result<(), MetricError> {
     let client = match to {
         Some(addr) => StatsdClient::from_sink(PREFIX, udp_sink(addr)?),
         None => StatsdClient::from_sink(PREFIX, NopMetricSink),
     };
-    thread::Builder::new()
-        .name("metrics".into())
-        .spawn(move || send_for_ever(&counters, &client))?;
+    thread::Builder::new().name("metrics".into()).spawn(move || send_loop(&counters, &client))?;
     Ok(())
 }
 
@@ -40,7 +39,7 @@
     UdpMetricSink::from(addr, socket)
 }
 
-fn send_for_ever(counters: &Counters, client: &StatsdClient) {
+fn send_loop(counters: &Counters, client: &StatsdClient) {
     let mut sent = vec![0; Count::ALL.len()];
     loop {
         thread::sleep(INTERVAL);
--- a/crates/daemon/src/process/mod.rs
+++ b/crates/daemon/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What every daemon has as long as it lives.
+//! The parts that every daemon has for the lifetime of its process.
 
 mod config_agent;
 mod counters;
--- a/crates/daemon/src/process/operators.rs
+++ b/crates/daemon/src/process/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' listener: `GET /dump`, `GET /healthz`.
+//! The HTTP listener for operators: `GET /dump` and `GET /healthz`.
 
 use crate::process::Dump;
 use sorrellock_http::{Request, Server, ServerConfig};
@@ -6,14 +6,14 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The most connections of operators at a time.
+/// Maximum number of concurrent connections.
 const MAX_CONNECTIONS: usize = 16;
-/// Threads that answer operators: a dump that takes long must not hold up `/healthz`.
+/// Number of worker threads; more than one, so that a slow dump does not delay `/healthz`.
 const WORKERS: usize = 2;
-/// The largest body read; what operators ask needs none.
+/// Maximum size of a request body; the requests served here need none.
 const MAX_BODY_BYTES: usize = 1 << 10;
 
-/// Starts the operators' listener; it listens until it is dropped.
+/// Starts the listener for operators. It runs until the returned server is dropped.
 pub fn listen_for_operators(addr: SocketAddr, state: Arc<dyn Dump>) -> io::Result<Server> {
     let cfg = ServerConfig::new(addr)
         .with_name("operators")
@@ -21,7 +21,7 @@
         .with_max_connections(MAX_CONNECTIONS)
         .with_max_body_bytes(MAX_BODY_BYTES);
     let server = Server::start(cfg, move |req| answer(req, &*state))?;
-    spdlog::info!("operators may ask on {}", server.addr());
+    spdlog::info!("listening for operators on {}", server.addr());
     Ok(server)
 }
 
