--- a/crates/daemon/src/beside/process/beside.rs
+++ b/crates/daemon/src/beside/process/beside.rs
@@ -5,10 +5,10 @@
 use crate::beside::process::{
     BesideHandler, BesideSettings, EngineRunner, OrderDesk, Outbox, ServiceRunner, StartRegistry,
 };
-use crate::process::leads::LeadDesk;
+use crate::process::leads::LeadAgent;
 use crate::process::ledger::{LEDGER_STORE_TIMEOUT, LedgerHolders};
 use crate::process::{
-    ConfigAgent, Count, Counters, DaemonParts, Dump, Journal, LIST_LIMIT, counters_json,
+    ConfigAgent, Count, Counters, DaemonParts, Dump, Journal, LIST_TIMEOUT, counters_json,
     listen_for_operators, read_list, send_metrics,
 };
 use eyre::{Result, WrapErr};
@@ -69,7 +69,7 @@
             engines,
             kept,
             orders,
-            leads: store.clone().map(|store| LeadDesk::start(store, leads_cx)),
+            leads: store.clone().map(|store| LeadAgent::start(store, leads_cx)),
             services: start_services(&settings, &starts),
             starts,
             ledger: new_ledger(me, &settings, &link),
@@ -83,7 +83,7 @@
         agent.serve(unserved.members, link.clone(), move || own.endpoints());
         config.serve(unserved.config, link.clone(), store);
         if let Some(platform) = settings.platform {
-            let list = HttpInstanceList::new(platform).with_timeout(LIST_LIMIT);
+            let list = HttpInstanceList::new(platform).with_timeout(LIST_TIMEOUT);
             read_list(agent, list, false);
         }
         send_metrics(counters.clone(), settings.metrics)
--- a/crates/daemon/src/entry/process/entry.rs
+++ b/crates/daemon/src/entry/process/entry.rs
@@ -6,10 +6,10 @@
     LimitDesk, Pipelines, RetryDesk, Timer,
 };
 use crate::entry::request::{RunTable, listener_refusal};
-use crate::process::leads::LeadDesk;
+use crate::process::leads::LeadAgent;
 use crate::process::ledger::{LEDGER_STORE_TIMEOUT, LedgerHolders};
 use crate::process::{
-    ConfigAgent, Count, Counters, DaemonParts, Dump, FleetAgent, Journal, LIST_LIMIT,
+    ConfigAgent, Count, Counters, DaemonParts, Dump, FleetAgent, Journal, LIST_TIMEOUT,
     counters_json, listen_for_operators, read_list, send_metrics,
 };
 use eyre::{Result, WrapErr};
@@ -60,7 +60,7 @@
             in_progress: Arc::new(in_progress),
             gate: OnceLock::new(),
             agent: agent.clone(),
-            leads: LeadDesk::start(store.clone(), leads_cx),
+            leads: LeadAgent::start(store.clone(), leads_cx),
             holders: Arc::new(new_holders(me, &settings, link.clone())),
             retries: Arc::new(RetryDesk::new(counters.clone(), journal.clone())),
             link: link.clone(),
@@ -93,7 +93,7 @@
         agent.on_change(move |members| fleet.set_members(members));
         agent.serve(unserved.members, link.clone(), Vec::new);
         config.serve(unserved.config, link, Some(store));
-        let list = HttpInstanceList::new(settings.platform).with_timeout(LIST_LIMIT);
+        let list = HttpInstanceList::new(settings.platform).with_timeout(LIST_TIMEOUT);
         read_list(agent, list, true);
         send_metrics(counters, settings.metrics).wrap_err("start of the metrics")?;
         let server = start_server(&settings, &state, gate)?;
@@ -177,7 +177,7 @@
     config: Arc<ConfigAgent>,
     fleet: Arc<FleetCell>,
     agent: Arc<FleetAgent>,
-    leads: Arc<LeadDesk>,
+    leads: Arc<LeadAgent>,
     in_progress: Arc<InProgress>,
     gate: OnceLock<Arc<Gate<AnyLink>>>,
     holders: Arc<EntryLedger<AnyLink>>,
