--- a/crates/daemon/src/entry/mod.rs
+++ b/crates/daemon/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry: takes callers' requests and drives each to its one outcome.
+//! The entry: accepts callers' requests and drives each to exactly one outcome.
 
 pub mod process;
 pub mod request;
--- a/crates/daemon/src/entry/process/admission/gate.rs
+++ b/crates/daemon/src/entry/process/admission/gate.rs
@@ -1,4 +1,4 @@
-//! Admits requests: each starts, waits for its turn, or is refused at once.
+//! Admission of requests: each starts, is queued, or is refused at once.
 
 use super::pools::{Decided, Waiting};
 use super::{Pools, Work};
@@ -19,35 +19,35 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often the windows follow the fleet, and requests that wait in vain are dropped.
+/// Interval at which the windows are adapted to the fleet and waiting requests that can't start in time are dropped.
 const REFRESH: Duration = Duration::from_millis(100);
 
-/// What a gate works with.
+/// Dependencies of a [`Gate`].
 pub struct GateParts<L> {
-    /// The endpoints.
+    /// Holds the current fleet view.
     pub fleet: Arc<FleetCell>,
-    /// How much is in progress.
+    /// Counts the requests in progress.
     pub in_progress: Arc<InProgress>,
     /// Starts pipeline requests.
     pub pipelines: Arc<Pipelines<L>>,
     /// Starts calls.
     pub calls: Arc<Calls<L>>,
-    /// Deadlines.
+    /// Fires at the deadlines of waiting requests.
     pub timer: Arc<Timer>,
-    /// The limits.
+    /// Checks requests against the limits of their rows.
     pub limits: Arc<LimitDesk<L>>,
-    /// The counters.
+    /// Counters for metrics.
     pub counters: Arc<Counters>,
 }
 
-/// Admits requests: first by the limits of their rows, then by the room there is.
+/// Admits requests: first by the limits of their rows, then by free capacity.
 pub struct Gate<L> {
     parts: GateParts<L>,
     pools: Mutex<Pools>,
 }
 
 impl<L: Link> Gate<L> {
-    /// Starts the threads that let waiting requests go on as others end.
+    /// Creates the gate and the threads that start waiting requests as others end.
     pub fn start(parts: GateParts<L>, finished: Receiver<Finished>) -> Arc<Gate<L>> {
         let pools = Mutex::new(Pools::new(QueueBounds::new()));
         let gate = Arc::new(Gate { parts, pools });
@@ -62,13 +62,13 @@
         gate
     }
 
-    /// Takes a checked request that is counted as in progress; it is answered once.
+    /// Accepts a validated request that is already counted as in progress; it is answered exactly once.
     pub fn offer(self: &Arc<Self>, work: Work, row: Arc<Row>, responder: Responder) {
         let checked = self.parts.limits.check(Asking { work, row, responder });
         self.carry_on(checked);
     }
 
-    /// A keeper answered: requests that waited for it go on.
+    /// Handles a keeper's grant: requests that waited for it continue.
     pub fn on_grant(self: &Arc<Self>, from: Incarnation, grant: &Grant) {
         let checked = self.parts.limits.on_grant(from, grant);
         self.carry_on(checked);
@@ -91,7 +91,7 @@
         let view = self.parts.fleet.view();
         let waiting = Waiting { pool: work.pool(), work, responder };
         let mut pools = self.pools.lock().unwrap();
-        // Past this line a caller that goes away is cancelled by its hook, which takes the lock.
+        // If the caller disconnects after this check, its `on_gone` hook cancels the request; the hook takes the same lock.
         if waiting.responder.is_gone() {
             drop(pools);
             return self.refuse(waiting, cancelled());
@@ -105,7 +105,7 @@
         self.carry_out(decided);
     }
 
-    /// The deadline of a request passed; nothing happens if it doesn't wait here.
+    /// Refuses a waiting request whose deadline passed; does nothing if it doesn't wait here.
     pub fn on_deadline(&self, ticket: Sequence) {
         let waiting = self.pools.lock().unwrap().cancel(ticket);
         let detail = "its deadline passed while it waited to start";
@@ -113,7 +113,7 @@
         waiting.into_iter().for_each(|waiting| self.refuse(waiting, refused.clone()));
     }
 
-    /// The state of the queues as JSON.
+    /// Returns the state of the queues and limits as JSON.
     pub fn dump(&self) -> Value {
         let pools = self.pools.lock().unwrap().dump();
         json!({ "pools": pools, "limits": self.parts.limits.dump() })
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Refuses a request that had passed the limits.
+    /// Refuses a request that had passed the limits, and returns what it spent of them.
     fn refuse(&self, waiting: Waiting, not_run: NotRun) {
         self.parts.limits.ended(waiting.work.sequence(), Ended::NotRun);
         self.answer(waiting.responder, not_run);
--- a/crates/daemon/src/entry/process/admission/mod.rs
+++ b/crates/daemon/src/entry/process/admission/mod.rs
@@ -1,4 +1,4 @@
-//! Admission at the entry: starts, queues and refuses what callers ask.
+//! Admission at the entry: starts, queues or refuses callers' requests.
 
 mod gate;
 mod pool_id;
--- a/crates/daemon/src/entry/process/admission/pool_id.rs
+++ b/crates/daemon/src/entry/process/admission/pool_id.rs
@@ -1,10 +1,10 @@
-//! What requests queue for: the engines of a model, or the instances of a plain service.
+//! Identifies what requests queue for: the engines of a model, or the instances of a plain service.
 
 use serde::Serialize;
 use sorrellock_core::id::{ModelId, ServiceId};
 use sorrellock_core::process::Role;
 
-/// What requests queue for.
+/// Group of endpoints that requests queue for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 pub enum PoolId {
     /// The engines of a model; its work is counted in tokens.
@@ -14,7 +14,7 @@
 }
 
 impl PoolId {
-    /// Whether an endpoint does work of this pool.
+    /// Returns whether an endpoint with this role serves the pool.
     pub fn is_served_by(&self, role: &Role) -> bool {
         match (self, role) {
             (PoolId::Model(model), Role::Engine { model: held, .. }) => model == held,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Its name in dumps.
+    /// Returns the pool's name in dumps.
     pub fn name(&self) -> String {
         match self {
             PoolId::Model(model) => format!("model {model}"),
--- a/crates/daemon/src/entry/process/admission/pools.rs
+++ b/crates/daemon/src/entry/process/admission/pools.rs
@@ -1,4 +1,4 @@
-//! The queues of an entry, one for each pool, and the requests that wait in them.
+//! The admission queues of an entry, one per pool, and the requests that wait in them.
 
 use super::{PoolId, Work};
 use crate::entry::version::FleetView;
@@ -13,21 +13,21 @@
 
 type Queue = AdmissionQueue<SystemClock>;
 
-/// A request that waits, with its caller.
+/// A waiting request with its caller's responder.
 pub(super) struct Waiting {
     pub pool: PoolId,
     pub work: Work,
     pub responder: Responder,
 }
 
-/// What the queues decided: requests to start, and requests to answer.
+/// Decisions of the queues: requests to start and requests to refuse.
 #[derive(Default)]
 pub(super) struct Decided {
     pub start: Vec<Waiting>,
     pub refuse: Vec<(Waiting, NotRun)>,
 }
 
-/// The queues of an entry. There are as many as pipelines and services that callers may call.
+/// The admission queues of an entry. The number of pipelines and services that callers may call bounds their number.
 pub(super) struct Pools {
     bounds: QueueBounds,
     queues: HashMap<PoolId, Queue>,
@@ -41,7 +41,7 @@
         Pools { bounds, queues, waiting, running }
     }
 
-    /// A request asks to start.
+    /// Starts, queues or refuses a request.
     pub fn offer(&mut self, waiting: Waiting, demand: Demand, fleet: &FleetView) -> Decided {
         let (pool, ticket) = (waiting.pool.clone(), demand.ticket);
         let mut decided = Decided::default();
@@ -59,7 +59,7 @@
         decided
     }
 
-    /// A started request ended: others may start.
+    /// Handles the end of a started request: others may start.
     pub fn finish(&mut self, ticket: Sequence, ended: Ended) -> Decided {
         let mut decided = Decided::default();
         let Some(pool) = self.running.remove(&ticket) else { return decided };
@@ -70,7 +70,7 @@
         decided
     }
 
-    /// Takes a waiting request out.
+    /// Removes and returns a waiting request.
     pub fn cancel(&mut self, ticket: Sequence) -> Option<Waiting> {
         let waiting = self.waiting.remove(&ticket)?;
         if let Some(queue) = self.queues.get_mut(&waiting.pool) {
@@ -79,7 +79,7 @@
         Some(waiting)
     }
 
-    /// Follows the fleet, and drops what can't start in time any more.
+    /// Adapts the windows to the fleet and drops requests that can no longer start in time.
     pub fn refresh(&mut self, fleet: &FleetView) -> Decided {
         let mut decided = Decided::default();
         let pools: Vec<PoolId> = self.queues.keys().cloned().collect();
@@ -92,7 +92,7 @@
         decided
     }
 
-    /// The state of each queue as JSON.
+    /// Returns the state of each queue as JSON.
     pub fn dump(&self) -> Value {
         let queue = |(pool, queue): (&PoolId, &Queue)| {
             let state = json!({
@@ -114,7 +114,7 @@
         self.queues.entry(pool.clone()).or_insert_with(new)
     }
 
-    /// Takes from a queue what may start and what it dropped.
+    /// Moves the requests that a queue starts or dropped into `decided`.
     fn collect(&mut self, pool: &PoolId, decided: &mut Decided) {
         let Some(queue) = self.queues.get_mut(pool) else { return };
         while let Some(ticket) = queue.start_next() {
@@ -128,7 +128,7 @@
     }
 }
 
-/// This entry's part of what the endpoints take at a time.
+/// Returns this entry's share of the pool's slots, rounded up.
 fn slots(pool: &PoolId, fleet: &FleetView) -> usize {
     let all = fleet.slots(|role| pool.is_served_by(role));
     all.div_ceil(fleet.other_entries() + 1)
--- a/crates/daemon/src/entry/process/admission/work.rs
+++ b/crates/daemon/src/entry/process/admission/work.rs
@@ -1,4 +1,4 @@
-//! A checked request that starts once it is admitted.
+//! Validated requests that start once they are admitted.
 
 use super::PoolId;
 use crate::entry::process::{NewCall, NewPipeline};
@@ -7,19 +7,19 @@
 use sorrellock_core::version::Row;
 use std::time::Instant;
 
-/// The most work assumed of a call to a plain service of which nothing is known, in milliseconds.
+/// Upper bound assumed for the work of a call to a plain service without history, in milliseconds.
 const CALL_WORK_MS: f64 = 100.0;
 
-/// A checked request that starts once it is admitted.
+/// A validated request that starts once it is admitted.
 pub enum Work {
-    /// For a pipeline.
+    /// A request to a pipeline.
     Pipeline(NewPipeline),
-    /// For a plain service.
+    /// A call to a plain service.
     Call(NewCall),
 }
 
 impl Work {
-    /// Its number at this entry.
+    /// Returns the request's sequence number at this entry.
     pub fn sequence(&self) -> Sequence {
         match self {
             Work::Pipeline(new) => new.request.sequence,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// When the caller no longer needs it.
+    /// Returns the time after which the caller no longer needs the answer.
     pub fn deadline(&self) -> Instant {
         match self {
             Work::Pipeline(new) => new.deadline,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// What it queues for.
+    /// Returns the pool that the request queues for.
     pub fn pool(&self) -> PoolId {
         match self {
             Work::Pipeline(new) => PoolId::Model(new.pipeline.model.clone()),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Tokens of its prompt.
+    /// Returns the number of prompt tokens; 0 for a call.
     pub fn prompt_tokens(&self) -> f64 {
         match self {
             Work::Pipeline(new) => new.asked.prompt.len() as f64,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// What it asks of its queue, by the row that applies.
+    /// Returns the request's demand on its queue, with class and weight of the row that applies.
     pub fn demand(&self, row: &Row) -> Demand {
         let (known_work, max_extra_work, bytes) = match self {
             Work::Pipeline(new) => {
--- a/crates/daemon/src/entry/process/limits/checked.rs
+++ b/crates/daemon/src/entry/process/limits/checked.rs
@@ -1,4 +1,4 @@
-//! A request on its way through the limits.
+//! Requests before and after the check against the limits.
 
 use crate::entry::process::Work;
 use sorrellock_core::request::NotRun;
@@ -6,20 +6,20 @@
 use sorrellock_http::Responder;
 use std::sync::Arc;
 
-/// A request with its row and its caller.
+/// A request with its row and its caller's responder.
 pub struct Asking {
-    /// The request.
+    /// Request to admit.
     pub work: Work,
-    /// The row that applies.
+    /// Row whose limits apply.
     pub row: Arc<Row>,
-    /// The caller.
+    /// Sends the answer to the caller.
     pub responder: Responder,
 }
 
-/// A request of which the limits have decided.
+/// Result of the check against the limits.
 pub enum Checked {
-    /// It goes on.
+    /// Within the limits.
     Passed(Asking),
-    /// It is refused.
+    /// Refused, with the reason.
     Refused(Asking, NotRun),
 }
--- a/crates/daemon/src/entry/process/limits/known_entries.rs
+++ b/crates/daemon/src/entry/process/limits/known_entries.rs
@@ -1,4 +1,4 @@
-//! The entries among which limits are shared, and which of them keeps one.
+//! The entries among which limits are shared, and the choice of each limit's keeper.
 
 use sorrellock_core::id::Incarnation;
 use sorrellock_core::process::grants::{KeeperView, LimitKey};
@@ -10,20 +10,20 @@
 /// The entries among which limits are shared.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownEntries {
-    /// Live and not suspected, this one included. A suspicion is known in a second, that an entry
-    /// is gone only after some; to name another keeper too soon costs little.
+    /// Live and not suspected entries, this one included. A suspicion is known within a second, the confirmation that
+    /// an entry is gone takes several; choosing another keeper too early costs little.
     trusted: Vec<Peer>,
-    /// Suspected or gone without a word.
+    /// Number of entries that are suspected or gone without having announced it.
     lost: usize,
 }
 
 impl KnownEntries {
-    /// Nobody else is known.
+    /// Creates the state in which only this entry is known.
     pub fn only(me: Peer) -> KnownEntries {
         KnownEntries { trusted: vec![me], lost: 0 }
     }
 
-    /// As membership knows them.
+    /// Derives the entries from the membership view.
     pub fn of(view: &MembershipView) -> KnownEntries {
         let entries = view.members().filter(|member| member.fact.role == DaemonRole::Entry);
         let entries: Vec<&Member> = entries.filter(|member| was_live(member)).collect();
@@ -41,8 +41,8 @@
         KnownEntries { trusted, lost }
     }
 
-    /// Who keeps a limit: nobody where this entry lost sight of most others, as it may be this one
-    /// that is cut off; it then goes on with its last share.
+    /// Returns the keeper of a limit. There is none while more entries are lost than trusted, as this entry may
+    /// itself be the one that is cut off; it then continues with its last share.
     pub fn keeping(&self, key: &LimitKey) -> KeeperView {
         let entries = self.trusted.len() + self.lost;
         if self.is_cut_off() {
@@ -52,7 +52,7 @@
         KeeperView { keeper: rendezvous(key.to_string().as_bytes(), trusted), entries }
     }
 
-    /// The entry of an incarnation.
+    /// Returns the trusted entry with an incarnation.
     pub fn find(&self, incarnation: Option<Incarnation>) -> Option<Peer> {
         self.trusted.iter().find(|entry| Some(entry.incarnation) == incarnation).copied()
     }
@@ -69,7 +69,7 @@
     }
 }
 
-/// Whether it was live by its own last word, whatever others hold of it.
+/// Returns whether the member last reported itself as live, whatever other members conclude about it.
 fn was_live(member: &Member) -> bool {
     member.fact.liveness == Liveness::Live
 }
--- a/crates/daemon/src/entry/process/limits/limit_desk.rs
+++ b/crates/daemon/src/entry/process/limits/limit_desk.rs
@@ -1,4 +1,4 @@
-//! Checks requests against the limits of their rows, and keeps the limits that fall to this entry.
+//! Checks requests against the limits of their rows, and acts as keeper of the limits assigned to this entry.
 
 use super::{Asking, Checked, KnownEntries, Parked};
 use crate::entry::process::Work;
@@ -18,10 +18,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// When to come back where too many wait for the keeper's answer.
+/// Retry delay sent to callers when too many requests wait for the keeper's grant.
 const RETRY_AFTER_CROWD: Duration = Duration::from_secs(1);
 
-/// Checks requests against the limits of their rows, and keeps the limits that fall to this entry.
+/// Checks requests against the limits of their rows, and acts as keeper of the limits assigned to this entry.
 pub struct LimitDesk<L> {
     me: Peer,
     link: Arc<L>,
@@ -36,12 +36,12 @@
     table: LimitTable<SystemClock>,
     keeper: Keeper<SystemClock>,
     parked: Parked,
-    /// What was spent for each request in progress.
+    /// Amount spent for each request in progress.
     spent: HashMap<Sequence, Spent>,
-    /// Tokens made for a request, in the mean.
+    /// Mean number of tokens generated per request.
     made: Mean,
     entries: KnownEntries,
-    /// The members that `entries` was made of.
+    /// Membership view that `entries` was derived from.
     followed: Option<Arc<MembershipView>>,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl<L: Link> LimitDesk<L> {
-    /// Nothing granted, and no other entry known.
+    /// Creates a desk without grants that knows no other entry.
     pub fn new(
         me: Peer,
         link: Arc<L>,
@@ -73,7 +73,7 @@
         LimitDesk { me, link, agent, config, counters, journal, state: Mutex::new(state) }
     }
 
-    /// A request arrives; nothing is returned while it waits for a keeper's answer.
+    /// Checks a new request. It is not among the results while it waits for a keeper's grant.
     pub fn check(&self, asking: Asking) -> Vec<Checked> {
         let key = LimitKey::of(&asking.row);
         let mut state = self.state.lock().unwrap();
@@ -95,7 +95,7 @@
         checked
     }
 
-    /// A request that had passed ended, or never ran.
+    /// Settles what a passed request spent, after it ended or turned out not to run.
     pub fn ended(&self, sequence: Sequence, ended: Ended) {
         let mut state = self.state.lock().unwrap();
         let Some(Spent { key, prompt, tokens }) = state.spent.remove(&sequence) else { return };
@@ -109,7 +109,7 @@
         }
     }
 
-    /// An entry asks for a grant.
+    /// Answers another entry's grant request.
     pub fn on_ask(&self, from: Peer, ask: &GrantAsk) {
         let mut state = self.state.lock().unwrap();
         self.follow_entries(&mut state);
@@ -120,7 +120,7 @@
         }
     }
 
-    /// A keeper answered.
+    /// Applies a keeper's grant and returns the requests that it decides.
     pub fn on_grant(&self, from: Incarnation, grant: &Grant) -> Vec<Checked> {
         let mut state = self.state.lock().unwrap();
         if !state.table.take(from, grant) {
@@ -132,7 +132,7 @@
         checked
     }
 
-    /// Follows the fleet, renews grants and gives back what is not used.
+    /// Updates the entries from membership, renews grants and returns unused shares.
     pub fn refresh(&self) -> Vec<Checked> {
         let mut state = self.state.lock().unwrap();
         self.follow_entries(&mut state);
@@ -144,8 +144,8 @@
         checked
     }
 
-    /// Takes the entries as membership knows them now. An entry that follows later than the others
-    /// takes itself for the keeper of all limits, and grants each of them a second time.
+    /// Updates the entries from the current membership view. An entry that does so later than the others takes itself
+    /// for the keeper of all limits and grants each of them a second time.
     fn follow_entries(&self, state: &mut State) {
         let view = self.agent.view();
         if state.followed.as_ref().is_some_and(|followed| Arc::ptr_eq(followed, &view)) {
@@ -160,7 +160,7 @@
         }
     }
 
-    /// The state as JSON.
+    /// Returns the state as JSON.
     pub fn dump(&self) -> Value {
         let mut state = self.state.lock().unwrap();
         self.follow_entries(&mut state);
@@ -172,8 +172,8 @@
         })
     }
 
-    /// Sends the question of a key, if there is one; where this entry is itself the keeper, the
-    /// answer is here at once.
+    /// Sends the grant request of a key, if one is due. Where this entry is itself the keeper, the grant applies at
+    /// once and the requests that it decides are returned.
     fn ask(&self, state: &mut State, key: &LimitKey) -> Vec<Checked> {
         let (by, waiting) = (state.keeping(key), state.parked.of_key(key));
         let Some(ask) = state.table.ask(key, waiting, by) else { return Vec::new() };
@@ -219,7 +219,7 @@
         Checked::Passed(asking)
     }
 
-    /// Requests that wait for an answer ask again, in order.
+    /// Rechecks the requests that wait for a grant of a key, in order.
     fn resolve(&mut self, key: &LimitKey) -> Vec<Checked> {
         let by = self.keeping(key);
         let now = SystemClock.now();
--- a/crates/daemon/src/entry/process/limits/mod.rs
+++ b/crates/daemon/src/entry/process/limits/mod.rs
@@ -1,4 +1,4 @@
-//! Limits over the whole fleet, at one entry: as one that spends, and as the keeper of its part.
+//! Fleet-wide limits at one entry, which spends its shares and is the keeper of some of the limits.
 
 mod checked;
 mod known_entries;
--- a/crates/daemon/src/entry/process/limits/parked.rs
+++ b/crates/daemon/src/entry/process/limits/parked.rs
@@ -1,15 +1,15 @@
-//! Requests that wait for a keeper's answer.
+//! Requests that wait for a keeper's grant.
 
 use super::Asking;
 use sorrellock_core::process::grants::LimitKey;
 use std::collections::{HashMap, VecDeque};
 
-/// The most requests of one key that wait for an answer.
+/// Maximum number of requests of one key that wait for a grant.
 const MOST_OF_KEY: usize = 256;
-/// The most requests that wait for an answer.
+/// Maximum number of requests that wait for a grant, over all keys.
 const MOST: usize = 4096;
 
-/// Requests that wait for a keeper's answer, each with its tokens: a fraction of a second.
+/// Requests that wait for a keeper's grant, each with its expected tokens. The wait takes a fraction of a second.
 #[derive(Default)]
 pub(super) struct Parked {
     by_key: HashMap<LimitKey, VecDeque<(Asking, f64)>>,
@@ -17,17 +17,17 @@
 }
 
 impl Parked {
-    /// How many wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// How many of a key wait.
+    /// Returns the number of waiting requests of a key.
     pub fn of_key(&self, key: &LimitKey) -> usize {
         self.by_key.get(key).map_or(0, VecDeque::len)
     }
 
-    /// Adds a request behind the others, or gives it back if there are too many.
+    /// Appends a request, or returns it if too many wait.
     pub fn push(&mut self, key: &LimitKey, asking: Asking, tokens: f64) -> Option<Asking> {
         if self.count >= MOST || self.of_key(key) >= MOST_OF_KEY {
             return Some(asking);
@@ -37,7 +37,7 @@
         None
     }
 
-    /// Takes the first of a key.
+    /// Removes and returns the first request of a key.
     pub fn pop(&mut self, key: &LimitKey) -> Option<(Asking, f64)> {
         let waiting = self.by_key.get_mut(key)?;
         let first = waiting.pop_front();
@@ -48,7 +48,7 @@
         first
     }
 
-    /// Puts the first of a key back.
+    /// Puts a request back as the first of its key.
     pub fn put_back(&mut self, key: &LimitKey, first: (Asking, f64)) {
         self.by_key.entry(key.clone()).or_default().push_front(first);
         self.count += 1;
--- a/crates/daemon/src/entry/request/answer.rs
+++ b/crates/daemon/src/entry/request/answer.rs
@@ -1,4 +1,4 @@
-//! The answer to a request for tokens, whole or streamed, in the usual OpenAI shape.
+//! The response to a completion request, whole or streamed, in the OpenAI format.
 
 use crate::entry::request::{CompletionRequest, OUTCOME_HEADER, Problem, Shape};
 use serde_json::{Value, json};
@@ -6,11 +6,11 @@
 use sorrellock_http::{BodyStream, PushError, Responder};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The caller went away.
+/// The caller closed its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerGone;
 
-/// An answer on its way to the caller.
+/// A response that is being sent to the caller.
 pub struct Answer {
     id: String,
     model: String,
@@ -18,7 +18,7 @@
     created: u64,
     prompt_tokens: usize,
     made: u32,
-    /// The text so far, if the answer is kept for retries.
+    /// The text so far, if the response is kept for retries.
     kept: Option<String>,
     body: AnswerBody,
 }
@@ -31,7 +31,7 @@
 }
 
 impl Answer {
-    /// An answer of which nothing is sent yet.
+    /// Creates a response; nothing is sent yet.
     pub fn new(request: RequestKey, asked: &CompletionRequest, responder: Responder) -> Answer {
         let body = match asked.stream {
             true => AnswerBody::Waiting(responder),
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Keeps the text, so that [`Answer::replay`] can give the whole answer again.
+    /// Keeps the text from now on, so that [`Answer::replay`] can return the whole response.
     pub fn keep(&mut self) {
         self.kept = Some(String::new());
     }
 
-    /// The whole answer as a retry gets it, if it was kept: content type and body.
+    /// Returns content type and body of the whole response for a retry, if the text was kept.
     pub fn replay(&self, end_of_text: bool, stream: bool) -> Option<(&'static str, String)> {
         let text = self.kept.as_ref()?;
         let reason = finish_reason(end_of_text);
@@ -66,7 +66,7 @@
         Some(("text/event-stream", format!("{event}{last}data: [DONE]\n\n")))
     }
 
-    /// Adds the text of the next token. A stream sends its head with the first.
+    /// Appends the text of the next token. A stream sends its response head with the first token.
     pub fn push(&mut self, token: &str) -> Result<(), CallerGone> {
         self.made += 1;
         if let Some(kept) = &mut self.kept {
@@ -85,7 +85,7 @@
         Ok(())
     }
 
-    /// Ends the answer: it is whole.
+    /// Completes the response.
     pub fn finish(&mut self, end_of_text: bool) {
         let reason = finish_reason(end_of_text);
         self.start_stream();
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Ends the answer with a problem; a stream that has begun ends with an error event.
+    /// Ends the response with a problem; a stream that has started ends with an error event.
     pub fn fail(&mut self, problem: &Problem) {
         match std::mem::replace(&mut self.body, AnswerBody::Ended) {
             AnswerBody::Whole { responder, .. } | AnswerBody::Waiting(responder) => {
@@ -193,7 +193,7 @@
     if end_of_text { "stop" } else { "length" }
 }
 
-/// Sends what has gathered; while the caller reads slowly it goes on gathering, up to the answer's length.
+/// Sends the buffered events. While the caller reads slowly they stay buffered; the response's length bounds them.
 fn send_pending(stream: &BodyStream, pending: &mut String) -> Result<(), CallerGone> {
     match stream.push(pending.clone()) {
         Ok(()) => pending.clear(),
--- a/crates/daemon/src/entry/request/call_run.rs
+++ b/crates/daemon/src/entry/request/call_run.rs
@@ -1,4 +1,4 @@
-//! One call to a plain service at its entry.
+//! State of one call to a plain service at its entry.
 
 use crate::entry::process::NewPipeline;
 use crate::entry::request::Keyed;
@@ -10,45 +10,45 @@
 use sorrellock_wire::message::CallRequest;
 use std::time::{Duration, Instant};
 
-/// One call to a plain service at its entry.
+/// State of one call to a plain service at its entry.
 pub struct CallRun {
-    /// Its identity.
+    /// Key of the request.
     pub request: RequestKey,
-    /// Whose it is.
+    /// Workspace of the caller.
     pub workspace: WorkspaceId,
-    /// The service.
+    /// Service that is called.
     pub service: ServiceId,
-    /// What was last sent, with the attempt in force.
+    /// Request last sent, with the current attempt.
     pub sent: CallRequest,
-    /// Where it was last sent.
+    /// Daemon it was last sent to.
     pub daemon: Peer,
-    /// Endpoints that had an attempt already.
+    /// Endpoints that already had an attempt.
     pub tried: Vec<EndpointId>,
-    /// Whether it may run again.
+    /// Whether it may run more than once.
     pub idempotent: bool,
-    /// What is not known of an earlier attempt, if so: the call is never `not run` from then on.
+    /// Unknown outcome of an earlier attempt, if any: from then on the call can't end as `not run`.
     pub doubt: Option<Unknown>,
-    /// Its way through the ledger, if it has a key and must run at most once.
+    /// Ledger state, if it has a key and must run at most once.
     pub keyed: Option<Keyed>,
-    /// The pipeline request that it becomes once its record is granted, with its route.
+    /// Pipeline request to start once its record is granted, with its route.
     pub pipeline: Option<(NewPipeline, Route)>,
-    /// When the caller no longer needs it.
+    /// Time after which the caller no longer needs the answer.
     pub deadline: Instant,
-    /// The caller.
+    /// Sends the answer to the caller.
     pub responder: Option<Responder>,
-    /// Counts it at the endpoint.
+    /// Guard that counts the call as in flight at the endpoint.
     pub in_flight: Option<InFlight>,
-    /// With which the end of the attempt in force is told to its endpoint's breaker.
+    /// Reports the end of the current attempt to the endpoint's circuit breaker.
     pub permit: Option<Permit>,
 }
 
 impl CallRun {
-    /// The attempt in force.
+    /// Returns the current attempt.
     pub fn attempt(&self) -> Attempt {
         self.sent.attempt
     }
 
-    /// How long the attempt in force had to be answered.
+    /// Returns the time limit of the current attempt.
     pub fn given(&self) -> Duration {
         Duration::from_millis(self.sent.deadline_ms)
     }
--- a/crates/daemon/src/entry/request/mod.rs
+++ b/crates/daemon/src/entry/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lives at an entry as long as a request.
+//! State that an entry keeps for the lifetime of a request.
 
 mod answer;
 mod call_run;
--- a/crates/daemon/src/entry/request/openai.rs
+++ b/crates/daemon/src/entry/request/openai.rs
@@ -1,17 +1,17 @@
-//! Requests in the usual OpenAI shape.
+//! Completion requests in the OpenAI format.
 
 use crate::entry::request::Problem;
 use serde::Deserialize;
 use sorrellock_core::id::TokenId;
 
-/// Tokens made where the caller names no number.
+/// Token limit of a request that sets none.
 pub const DEFAULT_MAX_TOKENS: u32 = 128;
-/// The most tokens that a caller may ask for.
+/// Maximum number of tokens that a caller may request.
 pub const MAX_TOKENS: u32 = 32_768;
-/// The longest prompt, in tokens.
+/// Maximum prompt length, in tokens.
 pub const MAX_PROMPT_TOKENS: usize = 131_072;
 
-/// Which of the two answers is asked for.
+/// API that a request uses, which determines the format of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shape {
     /// `/v1/completions`.
@@ -20,18 +20,18 @@
     Chat,
 }
 
-/// A request for tokens, checked.
+/// A validated completion request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompletionRequest {
-    /// Which answer is asked for.
+    /// API used.
     pub shape: Shape,
-    /// The pipeline.
+    /// Name of the pipeline.
     pub model: String,
-    /// The prompt, at least one token.
+    /// Prompt, at least one token.
     pub prompt: Vec<TokenId>,
-    /// The most tokens to make, at least one.
+    /// Maximum number of tokens to generate, at least one.
     pub max_tokens: u32,
-    /// Whether the answer is to be streamed.
+    /// Whether the response is streamed.
     pub stream: bool,
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl CompletionRequest {
-    /// Reads and checks a body.
+    /// Parses and validates a request body.
     pub fn parse(shape: Shape, body: &[u8]) -> Result<CompletionRequest, Problem> {
         let malformed = |err: serde_json::Error| {
             Problem::bad(
@@ -102,7 +102,7 @@
     }
 }
 
-/// Each byte of the prompt is one token: the models' own tokenizers stay with the engines.
+/// Turns each byte of the prompt into one token: the models' own tokenizers run in the engines.
 fn check_prompt(prompt: &str) -> Result<Vec<TokenId>, Problem> {
     if prompt.is_empty() {
         return Err(Problem::bad(
--- a/crates/daemon/src/entry/request/pipeline_run.rs
+++ b/crates/daemon/src/entry/request/pipeline_run.rs
@@ -1,4 +1,4 @@
-//! One pipeline request at its entry.
+//! State of one pipeline request at its entry.
 
 use crate::entry::request::{Answer, RunRecord};
 use crate::entry::version::InFlight;
@@ -7,30 +7,30 @@
 use sorrellock_core::version::Pipeline;
 use std::time::Instant;
 
-/// One pipeline request at its entry.
+/// State of one pipeline request at its entry.
 pub struct PipelineRun {
-    /// Its identity.
+    /// Key of the request.
     pub request: RequestKey,
-    /// Whose it is.
+    /// Workspace of the caller.
     pub workspace: WorkspaceId,
     /// Tokens, attempt and route.
     pub driver: Driver,
-    /// Watches its progress.
+    /// Detects that the request makes no progress.
     pub stall: StallDetector,
-    /// Since when no engines are left for it, if so.
+    /// Time since which no route over live engines exists, if so.
     pub without_route: Option<Instant>,
-    /// What the caller gets.
+    /// Response to the caller.
     pub answer: Answer,
-    /// Whether the caller asked for a stream.
+    /// Whether the caller requested a stream.
     pub stream: bool,
-    /// Its record in the ledger, if it has one.
+    /// Ledger record, if any.
     pub record: Option<RunRecord>,
-    /// The pipeline.
+    /// Pipeline that serves the request.
     pub pipeline: Pipeline,
-    /// When the caller no longer needs it.
+    /// Time after which the caller no longer needs the answer.
     pub deadline: Instant,
     /// Length of the prompt, in tokens.
     pub prompt_len: Position,
-    /// Counts it at the endpoints of its route.
+    /// Guards that count the request as in flight at the endpoints of its route.
     pub in_flight: Vec<InFlight>,
 }
--- a/crates/daemon/src/entry/request/problem.rs
+++ b/crates/daemon/src/entry/request/problem.rs
@@ -1,35 +1,35 @@
-//! Refusals and failures as callers see them: a status, `Sorrellock-Outcome`, problem+json.
+//! Refusals and failures as sent to callers: HTTP status, `Sorrellock-Outcome` header and problem+json body.
 
 use serde_json::{Value, json};
 use sorrellock_core::request::{NotRun, Refusal, Unknown};
 use sorrellock_http::Responder;
 use std::time::Duration;
 
-/// Header that tells the outcome: `done`, `not-run` or `unknown`.
+/// Header with the outcome: `done`, `not-run` or `unknown`.
 pub const OUTCOME_HEADER: &str = "sorrellock-outcome";
 
-/// Header that tells that an answer is that of an earlier request with the same key.
+/// Header that marks an answer as that of an earlier request with the same key.
 pub const REPLAYED_HEADER: &str = "sorrellock-replayed";
 
-/// An answer that is not the one asked for.
+/// A refusal or failure that is sent in place of the requested answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Problem {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
     /// `not-run` or `unknown`.
     pub outcome: &'static str,
-    /// A short name of what went wrong.
+    /// Short name of the problem.
     pub title: String,
-    /// What it is, and the mend, in a plain sentence.
+    /// What went wrong and how to fix it, in a plain sentence.
     pub detail: String,
-    /// When to come back, if that may help.
+    /// Delay after which to retry, if a retry may succeed.
     pub retry_after: Option<Duration>,
-    /// Whether to close the connection, as the process behind it is leaving.
+    /// Whether to close the connection because this process is leaving.
     pub closes: bool,
 }
 
 impl Problem {
-    /// A request that can't be served as it was sent; it did not run.
+    /// Creates a problem for a request that can't be served as sent; it did not run.
     pub fn bad(status: u16, title: &str, detail: impl Into<String>) -> Problem {
         Problem {
             status,
@@ -41,14 +41,14 @@
         }
     }
 
-    /// The key of a request was used for another one.
+    /// Creates the problem for an idempotency key that was used with a different request.
     pub fn key_mismatch() -> Problem {
         let detail = "this Idempotency-Key was used for a request with another method, path, \
                       model or body; send a new key with a new request";
         Problem::bad(422, "key used before", detail)
     }
 
-    /// Sends it as the whole answer.
+    /// Sends the problem as the whole answer.
     pub fn send(&self, responder: Responder) {
         let retry_after =
             self.retry_after.map(|wait| wait.as_secs_f64().ceil().max(1.0).to_string());
@@ -63,7 +63,7 @@
         responder.send(self.status, &headers, self.json().to_string());
     }
 
-    /// Its problem+json.
+    /// Returns the problem+json body.
     pub fn json(&self) -> Value {
         let mut body = json!({
             "type": "about:blank",
@@ -79,8 +79,8 @@
     }
 }
 
-/// Words an answer that the callers' listener gives by itself. What it refuses never reached a
-/// handler; what a handler dropped may have run.
+/// Returns headers and body of a response that the callers' listener sends itself. A request that it refuses never
+/// reached a handler; one that a handler dropped (status 500) may have run.
 pub fn listener_refusal(status: u16, detail: &str) -> (Vec<(&'static str, &'static str)>, String) {
     let title = match status {
         400 => "malformed request",
--- a/crates/daemon/src/entry/request/run_table.rs
+++ b/crates/daemon/src/entry/request/run_table.rs
@@ -1,43 +1,43 @@
-//! Requests in progress by sequence number, in shards so that they don't wait for each other.
+//! Requests in progress by sequence number, sharded to reduce lock contention.
 
 use sorrellock_core::id::Sequence;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// How many shards there are.
+/// Number of shards.
 const SHARDS: usize = 64;
 
 type Shard<R> = HashMap<Sequence, Arc<Mutex<R>>>;
 
-/// Requests in progress.
+/// Requests in progress by sequence number.
 pub struct RunTable<R> {
     shards: Vec<Mutex<Shard<R>>>,
 }
 
 impl<R> RunTable<R> {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> RunTable<R> {
         RunTable { shards: (0..SHARDS).map(|_| Mutex::default()).collect() }
     }
 
-    /// Adds a request.
+    /// Adds a request and returns it.
     pub fn insert(&self, sequence: Sequence, run: R) -> Arc<Mutex<R>> {
         let run = Arc::new(Mutex::new(run));
         self.shard(sequence).insert(sequence, run.clone());
         run
     }
 
-    /// The request of a number.
+    /// Returns the request with a sequence number.
     pub fn get(&self, sequence: Sequence) -> Option<Arc<Mutex<R>>> {
         self.shard(sequence).get(&sequence).cloned()
     }
 
-    /// Takes a request out. Of several that try, one gets it.
+    /// Removes and returns a request. Of several concurrent callers, exactly one gets it.
     pub fn remove(&self, sequence: Sequence) -> Option<Arc<Mutex<R>>> {
         self.shard(sequence).remove(&sequence)
     }
 
-    /// All requests, as of now.
+    /// Returns a snapshot of all requests; shards are copied one after another.
     pub fn all(&self) -> Vec<(Sequence, Arc<Mutex<R>>)> {
         let shards = self.shards.iter();
         let copy = |shard: &Mutex<Shard<R>>| {
@@ -47,12 +47,12 @@
         shards.flat_map(copy).collect()
     }
 
-    /// How many there are.
+    /// Returns the number of requests.
     pub fn len(&self) -> usize {
         self.shards.iter().map(|shard| shard.lock().unwrap().len()).sum()
     }
 
-    /// Whether there are none.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/daemon/src/entry/version/fleet_view.rs
+++ b/crates/daemon/src/entry/version/fleet_view.rs
@@ -1,4 +1,4 @@
-//! The fleet as this entry knows it: which endpoints take work, and what it has in flight there.
+//! The fleet as this entry knows it: which endpoints accept work, and how much it has in flight at each.
 
 use sorrellock_core::id::{EndpointId, ModelId, Place};
 use sorrellock_core::process::membership::{MembershipView, Standing};
@@ -9,18 +9,18 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// An endpoint that takes work.
+/// An endpoint that accepts work.
 #[derive(Clone, Debug)]
 pub struct KnownEndpoint {
-    /// The daemon beside it.
+    /// Daemon that serves it.
     pub daemon: Peer,
-    /// What its daemon told.
+    /// Endpoint state as reported by its daemon.
     pub fact: EndpointFact,
-    /// What this entry has in flight there; fresher than any report.
+    /// Requests of this entry in flight there; more recent than any report.
     pub in_flight: Arc<AtomicU32>,
-    /// What it was when the daemon last told another load.
+    /// Value of `in_flight` when the daemon last reported a different load.
     pub own_at_report: u32,
-    /// The place of its daemon.
+    /// Place of its daemon.
     pub place: Place,
 }
 
@@ -35,7 +35,7 @@
         KnownEndpoint { daemon, fact: fact.clone(), in_flight, own_at_report, place }
     }
 
-    /// Work in progress there. Reports lag: they count only for what other entries may have sent.
+    /// Returns the work in progress there. Reports lag, so they count only for work that other entries may have sent.
     fn load(&self, other_entries: usize) -> u32 {
         let own = self.in_flight.load(Ordering::Relaxed);
         if other_entries == 0 {
@@ -45,7 +45,7 @@
     }
 }
 
-/// Counts as in flight at an endpoint until dropped.
+/// Guard that counts a request as in flight at an endpoint until dropped.
 #[derive(Debug)]
 pub struct InFlight(Arc<AtomicU32>);
 
@@ -74,8 +74,8 @@
 }
 
 impl FleetView {
-    /// The endpoints of the live members. Those of members that are doubted, that the platform's
-    /// list tells to leave, or that are `avoided`, count only where nobody else has the same role.
+    /// Collects the endpoints of the live members. Endpoints of members that are suspected, that the platform's list
+    /// marks as leaving, or that are `avoided` are included only for roles that no other member serves.
     pub fn new(
         old: &FleetView,
         members: &MembershipView,
@@ -118,27 +118,27 @@
         FleetView { instances, endpoints, other_entries, place, links }
     }
 
-    /// Whether any endpoint that takes work is served from an address.
+    /// Returns whether any endpoint that accepts work is served by the daemon at an address.
     pub fn serves(&self, addr: SocketAddr) -> bool {
         self.endpoints.iter().any(|known| known.daemon.addr == addr)
     }
 
-    /// The place of this entry.
+    /// Returns the place of this entry.
     pub fn place(&self) -> &Place {
         &self.place
     }
 
-    /// What links cost.
+    /// Returns the costs of links.
     pub fn links(&self) -> &LinkCosts {
         &self.links
     }
 
-    /// All live daemons that serve endpoints.
+    /// Returns all live daemons that serve endpoints.
     pub fn instances(&self) -> impl Iterator<Item = &InstanceFact> {
         self.instances.iter()
     }
 
-    /// The engines that take work for a model.
+    /// Returns the engines that accept work for a model.
     pub fn engines(&self, model: &ModelId) -> Vec<Candidate> {
         let candidate = |known: &KnownEndpoint| match &known.fact.role {
             Role::Engine { model: held, layers } if held == model => Some(Candidate {
@@ -154,7 +154,8 @@
         self.endpoints.iter().filter_map(candidate).collect()
     }
 
-    /// The instances of a plain service that take work, the least loaded first.
+    /// Returns the instances of a plain service that accept work, the one with the fewest requests of this entry
+    /// first.
     pub fn services(&self, service: &str) -> Vec<&KnownEndpoint> {
         let serves = |known: &&KnownEndpoint| matches!(&known.fact.role, Role::Service { service: held } if held == service);
         let mut found: Vec<_> = self.endpoints.iter().filter(serves).collect();
@@ -162,18 +163,18 @@
         found
     }
 
-    /// How much work the live endpoints take at a time that serve as `serves` tells.
+    /// Returns the total number of slots of the endpoints whose role `serves` accepts.
     pub fn slots(&self, serves: impl Fn(&Role) -> bool) -> usize {
         let serving = self.endpoints.iter().filter(|known| serves(&known.fact.role));
         serving.map(|known| known.fact.slots as usize).sum()
     }
 
-    /// The other entries that are live.
+    /// Returns the number of other live entries.
     pub fn other_entries(&self) -> usize {
         self.other_entries
     }
 
-    /// Counts work at an endpoint until the guard is dropped.
+    /// Counts a request as in flight at an endpoint until the returned guard is dropped.
     pub fn count(&self, endpoint: &EndpointId) -> Option<InFlight> {
         let known = self.endpoints.iter().find(|known| known.fact.id == *endpoint)?;
         Some(InFlight::new(&known.in_flight))
--- a/crates/daemon/src/entry/version/mod.rs
+++ b/crates/daemon/src/entry/version/mod.rs
@@ -1,4 +1,4 @@
-//! What an entry reads on the path of a request; replaced whole when it changes.
+//! Immutable snapshots that an entry reads while it handles requests; a change replaces the whole snapshot.
 
 mod fleet_view;
 
