--- a/crates/daemon/src/entry/process/admission/gate.rs
+++ b/crates/daemon/src/entry/process/admission/gate.rs
@@ -1,8 +1,8 @@
 //! Admission of requests: each starts, is queued, or is refused at once.
 
-use super::pools::{Decided, Waiting};
+use super::pools::{Decisions, Waiting};
 use super::{Pools, Work};
-use crate::entry::process::limits::{Asking, Checked, LimitDesk};
+use crate::entry::process::limits::{Checked, LimitDesk, PendingRequest};
 use crate::entry::process::{Calls, Finished, FleetCell, InProgress, Pipelines, Timer};
 use crate::entry::request::Problem;
 use crate::process::{Count, Counters};
@@ -64,27 +64,27 @@
 
     /// Accepts a validated request that is already counted as in progress; it is answered exactly once.
     pub fn offer(self: &Arc<Self>, work: Work, row: Arc<Row>, responder: Responder) {
-        let checked = self.parts.limits.check(Asking { work, row, responder });
-        self.carry_on(checked);
+        let checked = self.parts.limits.check(PendingRequest { work, row, responder });
+        self.handle_checked(checked);
     }
 
     /// Handles a keeper's grant: requests that waited for it continue.
     pub fn on_grant(self: &Arc<Self>, from: Incarnation, grant: &Grant) {
         let checked = self.parts.limits.on_grant(from, grant);
-        self.carry_on(checked);
+        self.handle_checked(checked);
     }
 
-    fn carry_on(self: &Arc<Self>, checked: Vec<Checked>) {
+    fn handle_checked(self: &Arc<Self>, checked: Vec<Checked>) {
         for checked in checked {
             match checked {
-                Checked::Passed(asking) => self.enqueue(asking),
-                Checked::Refused(asking, not_run) => self.answer(asking.responder, not_run),
+                Checked::Passed(pending) => self.enqueue(pending),
+                Checked::Refused(pending, not_run) => self.answer(pending.responder, not_run),
             }
         }
     }
 
-    fn enqueue(self: &Arc<Self>, asking: Asking) {
-        let Asking { work, row, responder } = asking;
+    fn enqueue(self: &Arc<Self>, pending: PendingRequest) {
+        let PendingRequest { work, row, responder } = pending;
         let (ticket, deadline) = (work.sequence(), work.deadline());
         self.cancel_when_gone(&responder, ticket);
         let demand = work.demand(&row);
@@ -96,13 +96,13 @@
             drop(pools);
             return self.refuse(waiting, cancelled());
         }
-        let decided = pools.offer(waiting, demand, &view);
+        let decisions = pools.offer(waiting, demand, &view);
         drop(pools);
-        if decided.start.iter().all(|started| started.work.sequence() != ticket) {
+        if decisions.start.iter().all(|started| started.work.sequence() != ticket) {
             self.parts.counters.count(Count::AdmissionWaits);
             self.parts.timer.add(deadline, ticket);
         }
-        self.carry_out(decided);
+        self.apply_decisions(decisions);
     }
 
     /// Refuses a waiting request whose deadline passed; does nothing if it doesn't wait here.
@@ -130,20 +130,20 @@
 
     fn on_finished(&self, end: Finished) {
         self.parts.limits.ended(end.sequence, end.ended);
-        let decided = self.pools.lock().unwrap().finish(end.sequence, end.ended);
+        let decisions = self.pools.lock().unwrap().finish(end.sequence, end.ended);
         self.parts.in_progress.left();
-        self.carry_out(decided);
+        self.apply_decisions(decisions);
     }
 
     fn refresh(self: &Arc<Self>) {
-        self.carry_on(self.parts.limits.refresh());
+        self.handle_checked(self.parts.limits.refresh());
         let view = self.parts.fleet.view();
-        let decided = self.pools.lock().unwrap().refresh(&view);
-        self.carry_out(decided);
+        let decisions = self.pools.lock().unwrap().refresh(&view);
+        self.apply_decisions(decisions);
     }
 
-    fn carry_out(&self, decided: Decided) {
-        for waiting in decided.start {
+    fn apply_decisions(&self, decisions: Decisions) {
+        for waiting in decisions.start {
             match waiting.work {
                 Work::Pipeline(new) if new.once.is_some() => {
                     self.parts.calls.start_pipeline(new, waiting.responder);
@@ -152,7 +152,7 @@
                 Work::Call(new) => self.parts.calls.start(new, waiting.responder),
             }
         }
-        for (waiting, not_run) in decided.refuse {
+        for (waiting, not_run) in decisions.refuse {
             self.refuse(waiting, not_run);
         }
     }
--- a/crates/daemon/src/entry/process/admission/pools.rs
+++ b/crates/daemon/src/entry/process/admission/pools.rs
@@ -22,7 +22,7 @@
 
 /// Decisions of the queues: requests to start and requests to refuse.
 #[derive(Default)]
-pub(super) struct Decided {
+pub(super) struct Decisions {
     pub start: Vec<Waiting>,
     pub refuse: Vec<(Waiting, NotRun)>,
 }
@@ -42,32 +42,32 @@
     }
 
     /// Starts, queues or refuses a request.
-    pub fn offer(&mut self, waiting: Waiting, demand: Demand, fleet: &FleetView) -> Decided {
+    pub fn offer(&mut self, waiting: Waiting, demand: Demand, fleet: &FleetView) -> Decisions {
         let (pool, ticket) = (waiting.pool.clone(), demand.ticket);
-        let mut decided = Decided::default();
+        let mut decisions = Decisions::default();
         match self.queue(&pool, fleet).offer(demand) {
             Verdict::Start => {
                 self.running.insert(ticket, pool);
-                decided.start.push(waiting);
+                decisions.start.push(waiting);
             }
             Verdict::Wait => {
                 self.waiting.insert(ticket, waiting);
-                self.collect(&pool, &mut decided);
+                self.collect(&pool, &mut decisions);
             }
-            Verdict::Refuse(not_run) => decided.refuse.push((waiting, not_run)),
+            Verdict::Refuse(not_run) => decisions.refuse.push((waiting, not_run)),
         }
-        decided
+        decisions
     }
 
     /// Handles the end of a started request: others may start.
-    pub fn finish(&mut self, ticket: Sequence, ended: Ended) -> Decided {
-        let mut decided = Decided::default();
-        let Some(pool) = self.running.remove(&ticket) else { return decided };
+    pub fn finish(&mut self, ticket: Sequence, ended: Ended) -> Decisions {
+        let mut decisions = Decisions::default();
+        let Some(pool) = self.running.remove(&ticket) else { return decisions };
         if let Some(queue) = self.queues.get_mut(&pool) {
             queue.finish(ticket, ended);
         }
-        self.collect(&pool, &mut decided);
-        decided
+        self.collect(&pool, &mut decisions);
+        decisions
     }
 
     /// Removes and returns a waiting request.
@@ -80,16 +80,16 @@
     }
 
     /// Adapts the windows to the fleet and drops requests that can no longer start in time.
-    pub fn refresh(&mut self, fleet: &FleetView) -> Decided {
-        let mut decided = Decided::default();
+    pub fn refresh(&mut self, fleet: &FleetView) -> Decisions {
+        let mut decisions = Decisions::default();
         let pools: Vec<PoolId> = self.queues.keys().cloned().collect();
         for pool in pools {
             let queue = self.queue(&pool, fleet);
             queue.set_slots(slots(&pool, fleet));
             queue.expire();
-            self.collect(&pool, &mut decided);
+            self.collect(&pool, &mut decisions);
         }
-        decided
+        decisions
     }
 
     /// Returns the state of each queue as JSON.
@@ -114,16 +114,16 @@
         self.queues.entry(pool.clone()).or_insert_with(new)
     }
 
-    /// Moves the requests that a queue starts or dropped into `decided`.
-    fn collect(&mut self, pool: &PoolId, decided: &mut Decided) {
+    /// Moves the requests that a queue starts or dropped into `decisions`.
+    fn collect(&mut self, pool: &PoolId, decisions: &mut Decisions) {
         let Some(queue) = self.queues.get_mut(pool) else { return };
         while let Some(ticket) = queue.start_next() {
             self.running.insert(ticket, pool.clone());
-            decided.start.extend(self.waiting.remove(&ticket));
+            decisions.start.extend(self.waiting.remove(&ticket));
         }
         for dropped in queue.take_dropped() {
             let waiting = self.waiting.remove(&dropped.ticket);
-            decided.refuse.extend(waiting.map(|waiting| (waiting, dropped.not_run)));
+            decisions.refuse.extend(waiting.map(|waiting| (waiting, dropped.not_run)));
         }
     }
 }
--- a/crates/daemon/src/entry/process/limits/checked.rs
+++ b/crates/daemon/src/entry/process/limits/checked.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 /// A request with its row and its caller's responder.
-pub struct Asking {
+pub struct PendingRequest {
     /// Request to admit.
     pub work: Work,
     /// Row whose limits apply.
@@ -19,7 +19,7 @@
 /// Result of the check against the limits.
 pub enum Checked {
     /// Within the limits.
-    Passed(Asking),
+    Passed(PendingRequest),
     /// Refused, with the reason.
-    Refused(Asking, NotRun),
+    Refused(PendingRequest, NotRun),
 }
--- a/crates/daemon/src/entry/process/limits/known_entries.rs
+++ b/crates/daemon/src/entry/process/limits/known_entries.rs
@@ -26,7 +26,7 @@
     /// Derives the entries from the membership view.
     pub fn of(view: &MembershipView) -> KnownEntries {
         let entries = view.members().filter(|member| member.fact.role == DaemonRole::Entry);
-        let entries: Vec<&Member> = entries.filter(|member| was_live(member)).collect();
+        let entries: Vec<&Member> = entries.filter(|member| last_reported_live(member)).collect();
         let is_trusted = |member: &&Member| member.standing == Standing::Trusted;
         let trusted = entries.iter().copied().filter(is_trusted);
         let mut trusted: Vec<Peer> = trusted.map(|member| member.fact.peer).collect();
@@ -43,7 +43,7 @@
 
     /// Returns the keeper of a limit. There is none while more entries are lost than trusted, as this entry may
     /// itself be the one that is cut off; it then continues with its last share.
-    pub fn keeping(&self, key: &LimitKey) -> KeeperView {
+    pub fn find_keeper(&self, key: &LimitKey) -> KeeperView {
         let entries = self.trusted.len() + self.lost;
         if self.is_cut_off() {
             return KeeperView { keeper: None, entries };
@@ -70,6 +70,6 @@
 }
 
 /// Returns whether the member last reported itself as live, whatever other members conclude about it.
-fn was_live(member: &Member) -> bool {
+fn last_reported_live(member: &Member) -> bool {
     member.fact.liveness == Liveness::Live
 }
--- a/crates/daemon/src/entry/process/limits/limit_desk.rs
+++ b/crates/daemon/src/entry/process/limits/limit_desk.rs
@@ -1,6 +1,6 @@
 //! Checks requests against the limits of their rows, and acts as keeper of the limits assigned to this entry.
 
-use super::{Asking, Checked, KnownEntries, Parked};
+use super::{Checked, KnownEntries, Parked, PendingRequest};
 use crate::entry::process::Work;
 use crate::process::{ConfigAgent, Count, Counters, FleetAgent, Journal};
 use serde_json::{Value, json};
@@ -39,10 +39,10 @@
     /// Amount spent for each request in progress.
     spent: HashMap<Sequence, Spent>,
     /// Mean number of tokens generated per request.
-    made: Mean,
+    mean_generated: Mean,
     entries: KnownEntries,
     /// Membership view that `entries` was derived from.
-    followed: Option<Arc<MembershipView>>,
+    entries_view: Option<Arc<MembershipView>>,
 }
 
 struct Spent {
@@ -66,32 +66,32 @@
             keeper: Keeper::new(SystemClock, StartLevel::Full),
             parked: Parked::default(),
             spent: HashMap::new(),
-            made: Mean::default(),
+            mean_generated: Mean::default(),
             entries: KnownEntries::only(me),
-            followed: None,
+            entries_view: None,
         };
         LimitDesk { me, link, agent, config, counters, journal, state: Mutex::new(state) }
     }
 
     /// Checks a new request. It is not among the results while it waits for a keeper's grant.
-    pub fn check(&self, asking: Asking) -> Vec<Checked> {
-        let key = LimitKey::of(&asking.row);
+    pub fn check(&self, pending: PendingRequest) -> Vec<Checked> {
+        let key = LimitKey::of(&pending.row);
         let mut state = self.state.lock().unwrap();
         self.follow_entries(&mut state);
-        let by = state.keeping(&key);
-        let tokens = state.expected_tokens(&asking.work);
-        let verdict = state.table.arrive(&key, Limits::of(&asking.row), tokens, by);
+        let keeper_view = state.find_keeper(&key);
+        let tokens = state.expected_tokens(&pending.work);
+        let verdict = state.table.arrive(&key, Limits::of(&pending.row), tokens, keeper_view);
         let mut checked = Vec::new();
         match verdict {
-            Spend::Allowed => checked.push(state.pass(&key, asking, tokens)),
-            Spend::Refused(wait) => checked.push(refused(asking, wait)),
+            Spend::Allowed => checked.push(state.pass(&key, pending, tokens)),
+            Spend::Refused(wait) => checked.push(refused(pending, wait)),
             Spend::Asked => {
                 self.counters.count(Count::LimitWaits);
-                let crowded = state.parked.push(&key, asking, tokens);
-                checked.extend(crowded.map(|asking| refused(asking, RETRY_AFTER_CROWD)));
+                let crowded = state.parked.push(&key, pending, tokens);
+                checked.extend(crowded.map(|pending| refused(pending, RETRY_AFTER_CROWD)));
             }
         }
-        checked.extend(self.ask(&mut state, &key));
+        checked.extend(self.request_grant(&mut state, &key));
         checked
     }
 
@@ -101,7 +101,7 @@
         let Some(Spent { key, prompt, tokens }) = state.spent.remove(&sequence) else { return };
         match ended {
             Ended::Ran { work } => {
-                state.made.add((work - prompt).max(0.0));
+                state.mean_generated.add((work - prompt).max(0.0));
                 state.table.end(&key, tokens, work);
             }
             Ended::RanFor => state.table.end(&key, tokens, tokens),
@@ -128,7 +128,7 @@
             return Vec::new();
         }
         let mut checked = state.resolve(&grant.key);
-        checked.extend(self.ask(&mut state, &grant.key));
+        checked.extend(self.request_grant(&mut state, &grant.key));
         checked
     }
 
@@ -139,7 +139,7 @@
         let mut checked = Vec::new();
         for key in state.table.keys() {
             checked.extend(state.resolve(&key));
-            checked.extend(self.ask(&mut state, &key));
+            checked.extend(self.request_grant(&mut state, &key));
         }
         checked
     }
@@ -148,11 +148,12 @@
     /// for the keeper of all limits and grants each of them a second time.
     fn follow_entries(&self, state: &mut State) {
         let view = self.agent.view();
-        if state.followed.as_ref().is_some_and(|followed| Arc::ptr_eq(followed, &view)) {
+        if state.entries_view.as_ref().is_some_and(|entries_view| Arc::ptr_eq(entries_view, &view))
+        {
             return;
         }
         let entries = KnownEntries::of(&view);
-        state.followed = Some(view);
+        state.entries_view = Some(view);
         if state.entries != entries {
             self.journal.note("limit keepers changed", None, "members", entries.to_string());
             state.entries = entries;
@@ -174,10 +175,10 @@
 
     /// Sends the grant request of a key, if one is due. Where this entry is itself the keeper, the grant applies at
     /// once and the requests that it decides are returned.
-    fn ask(&self, state: &mut State, key: &LimitKey) -> Vec<Checked> {
-        let (by, waiting) = (state.keeping(key), state.parked.of_key(key));
-        let Some(ask) = state.table.ask(key, waiting, by) else { return Vec::new() };
-        let Some(keeper) = state.entries.find(by.keeper) else { return Vec::new() };
+    fn request_grant(&self, state: &mut State, key: &LimitKey) -> Vec<Checked> {
+        let (keeper_view, waiting) = (state.find_keeper(key), state.parked.len_of_key(key));
+        let Some(ask) = state.table.ask(key, waiting, keeper_view) else { return Vec::new() };
+        let Some(keeper) = state.entries.find(keeper_view.keeper) else { return Vec::new() };
         self.counters.count(Count::GrantsAsked);
         if keeper != self.me {
             self.send(keeper, GrantMessage::Ask(ask));
@@ -202,38 +203,38 @@
 }
 
 impl State {
-    fn keeping(&self, key: &LimitKey) -> KeeperView {
-        self.entries.keeping(key)
+    fn find_keeper(&self, key: &LimitKey) -> KeeperView {
+        self.entries.find_keeper(key)
     }
 
     fn expected_tokens(&self, work: &Work) -> f64 {
         let Work::Pipeline(new) = work else { return 0.0 };
-        let most = f64::from(new.asked.max_tokens);
-        work.prompt_tokens() + self.made.get().unwrap_or(most).min(most)
+        let max_generated = f64::from(new.asked.max_tokens);
+        work.prompt_tokens() + self.mean_generated.get().unwrap_or(max_generated).min(max_generated)
     }
 
-    fn pass(&mut self, key: &LimitKey, asking: Asking, tokens: f64) -> Checked {
-        let prompt = asking.work.prompt_tokens();
+    fn pass(&mut self, key: &LimitKey, pending: PendingRequest, tokens: f64) -> Checked {
+        let prompt = pending.work.prompt_tokens();
         let spent = Spent { key: key.clone(), prompt, tokens };
-        self.spent.insert(asking.work.sequence(), spent);
-        Checked::Passed(asking)
+        self.spent.insert(pending.work.sequence(), spent);
+        Checked::Passed(pending)
     }
 
     /// Rechecks the requests that wait for a grant of a key, in order.
     fn resolve(&mut self, key: &LimitKey) -> Vec<Checked> {
-        let by = self.keeping(key);
+        let keeper_view = self.find_keeper(key);
         let now = SystemClock.now();
         let mut checked = Vec::new();
-        while let Some((asking, tokens)) = self.parked.pop(key) {
-            if asking.work.deadline() <= now || asking.responder.is_gone() {
-                checked.push(late(asking));
+        while let Some((pending, tokens)) = self.parked.pop(key) {
+            if pending.work.deadline() <= now || pending.responder.is_gone() {
+                checked.push(expired(pending));
                 continue;
             }
-            match self.table.spend(key, tokens, by) {
-                Spend::Allowed => checked.push(self.pass(key, asking, tokens)),
-                Spend::Refused(wait) => checked.push(refused(asking, wait)),
+            match self.table.spend(key, tokens, keeper_view) {
+                Spend::Allowed => checked.push(self.pass(key, pending, tokens)),
+                Spend::Refused(wait) => checked.push(refused(pending, wait)),
                 Spend::Asked => {
-                    self.parked.put_back(key, (asking, tokens));
+                    self.parked.put_back(key, (pending, tokens));
                     break;
                 }
             }
@@ -242,18 +243,18 @@
     }
 }
 
-fn refused(asking: Asking, wait: Duration) -> Checked {
-    let row = &asking.row;
+fn refused(pending: PendingRequest, wait: Duration) -> Checked {
+    let row = &pending.row;
     let detail = format!(
         "workspace {} is at its limit for {}: {} requests and {} tokens a second, {} in flight",
         row.workspace, row.kind, row.requests_per_s, row.tokens_per_s, row.in_flight
     );
     let not_run = NotRun::never_sent(Refusal::Limit, detail).with_retry_after(wait);
-    Checked::Refused(asking, not_run)
+    Checked::Refused(pending, not_run)
 }
 
-fn late(asking: Asking) -> Checked {
-    let refusal = if asking.responder.is_gone() { Refusal::Cancelled } else { Refusal::Deadline };
+fn expired(pending: PendingRequest) -> Checked {
+    let refusal = if pending.responder.is_gone() { Refusal::Cancelled } else { Refusal::Deadline };
     let detail = "it waited for a grant of its workspace's limit";
-    Checked::Refused(asking, NotRun::never_sent(refusal, detail))
+    Checked::Refused(pending, NotRun::never_sent(refusal, detail))
 }
--- a/crates/daemon/src/entry/process/limits/parked.rs
+++ b/crates/daemon/src/entry/process/limits/parked.rs
@@ -1,18 +1,18 @@
 //! Requests that wait for a keeper's grant.
 
-use super::Asking;
+use super::PendingRequest;
 use sorrellock_core::process::grants::LimitKey;
 use std::collections::{HashMap, VecDeque};
 
 /// Maximum number of requests of one key that wait for a grant.
-const MOST_OF_KEY: usize = 256;
+const MAX_PARKED_PER_KEY: usize = 256;
 /// Maximum number of requests that wait for a grant, over all keys.
-const MOST: usize = 4096;
+const MAX_PARKED: usize = 4096;
 
 /// Requests that wait for a keeper's grant, each with its expected tokens. The wait takes a fraction of a second.
 #[derive(Default)]
 pub(super) struct Parked {
-    by_key: HashMap<LimitKey, VecDeque<(Asking, f64)>>,
+    by_key: HashMap<LimitKey, VecDeque<(PendingRequest, f64)>>,
     count: usize,
 }
 
@@ -23,22 +23,27 @@
     }
 
     /// Returns the number of waiting requests of a key.
-    pub fn of_key(&self, key: &LimitKey) -> usize {
+    pub fn len_of_key(&self, key: &LimitKey) -> usize {
         self.by_key.get(key).map_or(0, VecDeque::len)
     }
 
     /// Appends a request, or returns it if too many wait.
-    pub fn push(&mut self, key: &LimitKey, asking: Asking, tokens: f64) -> Option<Asking> {
-        if self.count >= MOST || self.of_key(key) >= MOST_OF_KEY {
-            return Some(asking);
+    pub fn push(
+        &mut self,
+        key: &LimitKey,
+        pending: PendingRequest,
+        tokens: f64,
+    ) -> Option<PendingRequest> {
+        if self.count >= MAX_PARKED || self.len_of_key(key) >= MAX_PARKED_PER_KEY {
+            return Some(pending);
         }
-        self.by_key.entry(key.clone()).or_default().push_back((asking, tokens));
+        self.by_key.entry(key.clone()).or_default().push_back((pending, tokens));
         self.count += 1;
         None
     }
 
     /// Removes and returns the first request of a key.
-    pub fn pop(&mut self, key: &LimitKey) -> Option<(Asking, f64)> {
+    pub fn pop(&mut self, key: &LimitKey) -> Option<(PendingRequest, f64)> {
         let waiting = self.by_key.get_mut(key)?;
         let first = waiting.pop_front();
         if waiting.is_empty() {
@@ -49,7 +54,7 @@
     }
 
     /// Puts a request back as the first of its key.
-    pub fn put_back(&mut self, key: &LimitKey, first: (Asking, f64)) {
+    pub fn put_back(&mut self, key: &LimitKey, first: (PendingRequest, f64)) {
         self.by_key.entry(key.clone()).or_default().push_front(first);
         self.count += 1;
     }
--- a/crates/daemon/src/entry/request/answer.rs
+++ b/crates/daemon/src/entry/request/answer.rs
@@ -17,7 +17,7 @@
     shape: Shape,
     created: u64,
     prompt_tokens: usize,
-    made: u32,
+    completion_tokens: u32,
     /// The text so far, if the response is kept for retries.
     kept: Option<String>,
     body: AnswerBody,
@@ -32,19 +32,23 @@
 
 impl Answer {
     /// Creates a response; nothing is sent yet.
-    pub fn new(request: RequestKey, asked: &CompletionRequest, responder: Responder) -> Answer {
-        let body = match asked.stream {
+    pub fn new(
+        request: RequestKey,
+        completion: &CompletionRequest,
+        responder: Responder,
+    ) -> Answer {
+        let body = match completion.stream {
             true => AnswerBody::Waiting(responder),
             false => AnswerBody::Whole { responder, text: String::new() },
         };
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Answer {
             id: format!("cmpl-{request}"),
-            model: asked.model.clone(),
-            shape: asked.shape,
+            model: completion.model.clone(),
+            shape: completion.shape,
             created: now.as_secs(),
-            prompt_tokens: asked.prompt.len(),
-            made: 0,
+            prompt_tokens: completion.prompt.len(),
+            completion_tokens: 0,
             kept: None,
             body,
         }
@@ -68,7 +72,7 @@
 
     /// Appends the text of the next token. A stream sends its response head with the first token.
     pub fn push(&mut self, token: &str) -> Result<(), CallerGone> {
-        self.made += 1;
+        self.completion_tokens += 1;
         if let Some(kept) = &mut self.kept {
             kept.push_str(token);
         }
@@ -172,8 +176,8 @@
         let mut body = self.envelope(object, choice);
         body["usage"] = json!({
             "prompt_tokens": self.prompt_tokens,
-            "completion_tokens": self.made,
-            "total_tokens": self.prompt_tokens + self.made as usize,
+            "completion_tokens": self.completion_tokens,
+            "total_tokens": self.prompt_tokens + self.completion_tokens as usize,
         });
         body
     }
--- a/crates/daemon/src/entry/request/keyed.rs
+++ b/crates/daemon/src/entry/request/keyed.rs
@@ -32,26 +32,26 @@
     /// Time of the next claim.
     pub wait_until: Option<Instant>,
     /// Whether the claim was resent during this wait because the holder's link closed.
-    claimed_again: bool,
+    claim_resent: bool,
 }
 
 impl Keyed {
     /// Creates the state of a request that has not sent a claim yet.
     pub fn new(owner: RequestKey, once: RunOnce) -> Keyed {
         let run = KeyedRun::new(owner, once.key, once.fingerprint);
-        Keyed { run, holder: None, wait_until: None, claimed_again: false }
+        Keyed { run, holder: None, wait_until: None, claim_resent: false }
     }
 
     /// Ends the wait if it is over, and returns whether it was. A stale timer that fires earlier changes nothing.
     pub fn take_wait(&mut self, now: Instant) -> bool {
         let over = self.wait_until.take_if(|until| *until <= now).is_some();
-        self.claimed_again &= !over;
+        self.claim_resent &= !over;
         over
     }
 
     /// Returns whether the claim may be resent before the wait is over, and marks it as resent. Allowed once per
     /// wait, so that a dead holder that is still named costs at most two claims per wait.
     pub fn take_claim_again(&mut self) -> bool {
-        !std::mem::replace(&mut self.claimed_again, true)
+        !std::mem::replace(&mut self.claim_resent, true)
     }
 }
--- a/crates/daemon/src/entry/request/problem.rs
+++ b/crates/daemon/src/entry/request/problem.rs
@@ -104,13 +104,13 @@
             Refusal::Cancelled => 499,
             Refusal::BadRequest => 400,
         };
-        let may_come_back = not_run.refusal != Refusal::BadRequest;
+        let may_retry = not_run.refusal != Refusal::BadRequest;
         Problem {
             status,
             outcome: "not-run",
             title: not_run.refusal.name().into(),
             detail: not_run.detail,
-            retry_after: may_come_back.then_some(not_run.retry_after),
+            retry_after: may_retry.then_some(not_run.retry_after),
             closes: not_run.refusal == Refusal::Leaving,
         }
     }
