--- a/crates/daemon/src/entry/process/calls.rs
+++ b/crates/daemon/src/entry/process/calls.rs
@@ -66,7 +66,7 @@
             daemon: self.me,
             tried: Vec::new(),
             idempotent: new.idempotent,
-            doubt: None,
+            earlier_unknown: None,
             keyed: new.once.map(|once| Keyed::new(new.request, once)),
             pipeline: None,
             deadline: new.deadline,
@@ -218,7 +218,7 @@
     /// An attempt may have run, and its answer will not come.
     fn lost(&self, mut run: Run<'_>, detail: String) {
         let unknown = Unknown { detail };
-        run.doubt = Some(unknown.clone());
+        run.earlier_unknown = Some(unknown.clone());
         if run.idempotent {
             return self.try_next(run, unknown.into());
         }
@@ -249,9 +249,9 @@
 
     pub(super) fn fail(&self, mut run: Run<'_>, problem: Problem) {
         let Some(responder) = run.responder.take() else { return };
-        let problem = match run.doubt.take() {
-            Some(doubt) if problem.outcome == "not-run" => {
-                Problem { retry_after: problem.retry_after, ..doubt.into() }
+        let problem = match run.earlier_unknown.take() {
+            Some(earlier_unknown) if problem.outcome == "not-run" => {
+                Problem { retry_after: problem.retry_after, ..earlier_unknown.into() }
             }
             _ => problem,
         };
--- a/crates/daemon/src/entry/process/keyed_pipelines.rs
+++ b/crates/daemon/src/entry/process/keyed_pipelines.rs
@@ -25,7 +25,7 @@
             daemon: self.me,
             tried: Vec::new(),
             idempotent: false,
-            doubt: None,
+            earlier_unknown: None,
             keyed: new.once.map(|once| Keyed::new(new.request, once)),
             pipeline: Some((new, Route { hops: Vec::new() })),
             deadline,
--- a/crates/daemon/src/entry/request/call_run.rs
+++ b/crates/daemon/src/entry/request/call_run.rs
@@ -27,7 +27,7 @@
     /// Whether it may run more than once.
     pub idempotent: bool,
     /// Unknown outcome of an earlier attempt, if any: from then on the call can't end as `not run`.
-    pub doubt: Option<Unknown>,
+    pub earlier_unknown: Option<Unknown>,
     /// Ledger state, if it has a key and must run at most once.
     pub keyed: Option<Keyed>,
     /// Pipeline request to start once its record is granted, with its route.
