--- a/crates/daemon/src/entry/process/admission/gate.rs
+++ b/crates/daemon/src/entry/process/admission/gate.rs
@@ -91,7 +91,8 @@
         let view = self.parts.fleet.view();
         let waiting = Waiting { pool: work.pool(), work, responder };
         let mut pools = self.pools.lock().unwrap();
-        // If the caller disconnects after this check, its `on_gone` hook cancels the request; the hook takes the same lock.
+        // If the caller disconnects after this check, its `on_gone` hook, which takes the same lock, cancels the
+        // request.
         if waiting.responder.is_gone() {
             drop(pools);
             return self.refuse(waiting, cancelled());
