--- a/crates/daemon/src/entry/process/admission/pools.rs
+++ b/crates/daemon/src/entry/process/admission/pools.rs
@@ -1,4 +1,4 @@
-//! The queues of an entry, one for each pool, and the requests that wait in them.
+//! The admission queues of an entry, one per pool, and the requests that wait in them.
 
 use super::{PoolId, Work};
 use crate::entry::version::FleetView;
@@ -13,21 +13,21 @@
 
 type Queue = AdmissionQueue<SystemClock>;
 
-/// A request that waits, with its caller.
+/// A waiting request with its caller's responder.
 pub(super) struct Waiting {
     pub pool: PoolId,
     pub work: Work,
     pub responder: Responder,
 }
 
-/// What the queues decided: requests to start, and requests to answer.
+/// Decisions of the queues: requests to start and requests to refuse.
 #[derive(Default)]
-pub(super) struct Decided {
+pub(super) struct Decisions {
     pub start: Vec<Waiting>,
     pub refuse: Vec<(Waiting, NotRun)>,
 }
 
-/// The queues of an entry. There are as many as pipelines and services that callers may call.
+/// The admission queues of an entry. The number of pipelines and services that callers may call bounds their number.
 pub(super) struct Pools {
     bounds: QueueBounds,
     queues: HashMap<PoolId, Queue>,
@@ -41,36 +41,36 @@
         Pools { bounds, queues, waiting, running }
     }
 
-    /// A request asks to start.
-    pub fn offer(&mut self, waiting: Waiting, demand: Demand, fleet: &FleetView) -> Decided {
+    /// Starts, queues or refuses a request.
+    pub fn offer(&mut self, waiting: Waiting, demand: Demand, fleet: &FleetView) -> Decisions {
         let (pool, ticket) = (waiting.pool.clone(), demand.ticket);
-        let mut decided = Decided::default();
+        let mut decisions = Decisions::default();
         match self.queue(&pool, fleet).offer(demand) {
             Verdict::Start => {
                 self.running.insert(ticket, pool);
-                decided.start.push(waiting);
+                decisions.start.push(waiting);
             }
             Verdict::Wait => {
                 self.waiting.insert(ticket, waiting);
-                self.collect(&pool, &mut decided);
+                self.collect(&pool, &mut decisions);
             }
-            Verdict::Refuse(not_run) => decided.refuse.push((waiting, not_run)),
+            Verdict::Refuse(not_run) => decisions.refuse.push((waiting, not_run)),
         }
-        decided
+        decisions
     }
 
-    /// A started request ended: others may start.
-    pub fn finish(&mut self, ticket: Sequence, ended: Ended) -> Decided {
-        let mut decided = Decided::default();
-        let Some(pool) = self.running.remove(&ticket) else { return decided };
+    /// Handles the end of a started request: others may start.
+    pub fn finish(&mut self, ticket: Sequence, ended: Ended) -> Decisions {
+        let mut decisions = Decisions::default();
+        let Some(pool) = self.running.remove(&ticket) else { return decisions };
         if let Some(queue) = self.queues.get_mut(&pool) {
             queue.finish(ticket, ended);
         }
-        self.collect(&pool, &mut decided);
-        decided
+        self.collect(&pool, &mut decisions);
+        decisions
     }
 
-    /// Takes a waiting request out.
+    /// Removes and returns a waiting request.
     pub fn cancel(&mut self, ticket: Sequence) -> Option<Waiting> {
         let waiting = self.waiting.remove(&ticket)?;
         if let Some(queue) = self.queues.get_mut(&waiting.pool) {
@@ -79,20 +79,20 @@
         Some(waiting)
     }
 
-    /// Follows the fleet, and drops what can't start in time any more.
-    pub fn refresh(&mut self, fleet: &FleetView) -> Decided {
-        let mut decided = Decided::default();
+    /// Adapts the windows to the fleet and drops requests that can no longer start in time.
+    pub fn refresh(&mut self, fleet: &FleetView) -> Decisions {
+        let mut decisions = Decisions::default();
         let pools: Vec<PoolId> = self.queues.keys().cloned().collect();
         for pool in pools {
             let queue = self.queue(&pool, fleet);
             queue.set_slots(slots(&pool, fleet));
             queue.expire();
-            self.collect(&pool, &mut decided);
+            self.collect(&pool, &mut decisions);
         }
-        decided
+        decisions
     }
 
-    /// The state of each queue as JSON.
+    /// Returns the state of each queue as JSON.
     pub fn dump(&self) -> Value {
         let queue = |(pool, queue): (&PoolId, &Queue)| {
             let state = json!({
@@ -114,21 +114,21 @@
         self.queues.entry(pool.clone()).or_insert_with(new)
     }
 
-    /// Takes from a queue what may start and what it dropped.
-    fn collect(&mut self, pool: &PoolId, decided: &mut Decided) {
+    /// Moves the requests that a queue starts or dropped into `decisions`.
+    fn collect(&mut self, pool: &PoolId, decisions: &mut Decisions) {
         let Some(queue) = self.queues.get_mut(pool) else { return };
         while let Some(ticket) = queue.start_next() {
             self.running.insert(ticket, pool.clone());
-            decided.start.extend(self.waiting.remove(&ticket));
+            decisions.start.extend(self.waiting.remove(&ticket));
         }
         for dropped in queue.take_dropped() {
             let waiting = self.waiting.remove(&dropped.ticket);
-            decided.refuse.extend(waiting.map(|waiting| (waiting, dropped.not_run)));
+            decisions.refuse.extend(waiting.map(|waiting| (waiting, dropped.not_run)));
         }
     }
 }
 
-/// This entry's part of what the endpoints take at a time.
+/// Returns this entry's share of the pool's slots, rounded up.
 fn slots(pool: &PoolId, fleet: &FleetView) -> usize {
     let all = fleet.slots(|role| pool.is_served_by(role));
     all.div_ceil(fleet.other_entries() + 1)
