--- a/crates/daemon/src/entry/process/api.rs
+++ b/crates/daemon/src/entry/process/api.rs
@@ -1,4 +1,4 @@
-//! The callers' API: checks a request, admits it, and hands it over.
+//! The callers' API: validates a request, admits it and passes it to the admission gate.
 
 use crate::entry::process::{Gate, InProgress, NewCall, NewPipeline, Work};
 use crate::entry::request::{CompletionRequest, Problem, RunOnce, Shape};
@@ -16,13 +16,13 @@
 const SERVICES: &str = "/v1/services/";
 /// Header that names the kind of a request.
 const KIND_HEADER: &str = "sorrellock-kind";
-/// Header that tells the time left, in milliseconds.
+/// Header that gives the time left, in milliseconds.
 const DEADLINE_HEADER: &str = "sorrellock-deadline-ms";
-/// Header that names a request which must run at most once, however often it is sent.
+/// Header that identifies a request which must run at most once, however often it is sent.
 const KEY_HEADER: &str = "idempotency-key";
 /// The longest key that a caller may send, in bytes.
 const MAX_KEY_BYTES: usize = 255;
-/// The longest deadline that a caller may name.
+/// The longest deadline that a caller may set, in milliseconds.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
 
 /// The callers' API.
@@ -33,8 +33,8 @@
     pub(super) counters: Arc<Counters>,
 }
 
-/// Who asks for what, as the headers tell.
-struct Asking {
+/// Holds the workspace, limits and deadline that apply to a request, as derived from its headers.
+struct RequestContext {
     config: Arc<ConfigView>,
     workspace: Arc<Workspace>,
     row: Arc<Row>,
@@ -42,7 +42,7 @@
 }
 
 impl<L: Link> Api<L> {
-    /// Handles a request; its answer may come later.
+    /// Handles a request; the answer may be sent after this returns.
     pub fn handle(&self, req: Request) {
         match req.path_only() {
             "/healthz" => req.responder.send(200, &[], "live\n"),
@@ -95,60 +95,61 @@
                 format!("{} takes POST", req.path_only()),
             ));
         }
-        let asking = self.asking(req)?;
+        let context = self.context(req)?;
         let asked = CompletionRequest::parse(shape, &req.body)?;
-        let pipeline = asking.config.pipeline(&asked.model).cloned();
-        let pipeline = pipeline.filter(|pipeline| asking.workspace.may_call.contains(&pipeline.id));
+        let pipeline = context.config.pipeline(&asked.model).cloned();
+        let pipeline =
+            pipeline.filter(|pipeline| context.workspace.may_call.contains(&pipeline.id));
         let Some(pipeline) = pipeline else { return Err(not_callable("model", &asked.model)) };
-        let once = match asking.row.idempotent {
+        let once = match context.row.idempotent {
             true => None,
-            false => run_once(req, &asking.workspace.id)?,
+            false => run_once(req, &context.workspace.id)?,
         };
         let new = NewPipeline {
             request: self.admit()?,
-            workspace: asking.workspace.id.clone(),
+            workspace: context.workspace.id.clone(),
             asked,
             pipeline,
-            deadline: asking.deadline,
-            class: asking.row.class,
+            deadline: context.deadline,
+            class: context.row.class,
             once,
         };
-        Ok((new, asking.row))
+        Ok((new, context.row))
     }
 
     fn new_call(&self, req: &Request) -> Result<(NewCall, Arc<Row>), Problem> {
         self.counters.count(Count::Requests);
-        let asking = self.asking(req)?;
+        let context = self.context(req)?;
         let rest = &req.path[SERVICES.len()..];
         let (service, path) = match rest.find(['/', '?']) {
             Some(at) => rest.split_at(at),
             None => (rest, ""),
         };
-        if !asking.workspace.may_call.iter().any(|id| id == service) {
+        if !context.workspace.may_call.iter().any(|id| id == service) {
             return Err(not_callable("service", service));
         }
         let path = if path.starts_with('/') { path.to_owned() } else { format!("/{path}") };
         let safe = matches!(req.method.as_str(), "GET" | "HEAD");
-        let idempotent = safe || asking.row.idempotent;
-        let once = if idempotent { None } else { run_once(req, &asking.workspace.id)? };
+        let idempotent = safe || context.row.idempotent;
+        let once = if idempotent { None } else { run_once(req, &context.workspace.id)? };
         let request = self.admit()?;
         let new = NewCall {
             request,
-            workspace: asking.workspace.id.clone(),
+            workspace: context.workspace.id.clone(),
             service: service.to_owned(),
-            call: call_request(req, request, path, asking.row.class),
+            call: call_request(req, request, path, context.row.class),
             idempotent,
             once,
-            deadline: asking.deadline,
+            deadline: context.deadline,
         };
-        Ok((new, asking.row))
+        Ok((new, context.row))
     }
 
     fn admit(&self) -> Result<RequestKey, Problem> {
         self.in_progress.admit().map_err(Problem::from)
     }
 
-    fn asking(&self, req: &Request) -> Result<Asking, Problem> {
+    fn context(&self, req: &Request) -> Result<RequestContext, Problem> {
         let config = self.config.view();
         let key = req.header("authorization").and_then(|value| value.strip_prefix("Bearer "));
         let Some(key) = key else {
@@ -161,7 +162,7 @@
         let kind = text_header(req, KIND_HEADER)?.unwrap_or(DEFAULT_KIND);
         let row = config.row(&workspace.id, kind);
         let deadline = Instant::now() + deadline(req, &row)?;
-        Ok(Asking { config, workspace, row, deadline })
+        Ok(RequestContext { config, workspace, row, deadline })
     }
 
     fn refuse(&self, responder: Responder, problem: Problem) {
@@ -171,7 +172,8 @@
     }
 }
 
-/// A header that is there must be text: one passed over would change what is asked for.
+/// Returns a header's value if it is present. A value that isn't text is an error: ignoring the header
+/// would change the meaning of the request.
 fn text_header<'a>(req: &'a Request, name: &str) -> Result<Option<&'a str>, Problem> {
     let Some(value) = req.headers.get(name) else { return Ok(None) };
     let bad = |_| {
@@ -194,14 +196,14 @@
     }
 }
 
-/// How a request goes through the ledger, if it has a key.
+/// Returns the ledger key and fingerprint of a request that has an idempotency key.
 fn run_once(req: &Request, workspace: &str) -> Result<Option<RunOnce>, Problem> {
     let Some(key) = text_header(req, KEY_HEADER)? else { return Ok(None) };
     if key.is_empty() || key.len() > MAX_KEY_BYTES {
         let detail = format!("Idempotency-Key has {} bytes; send 1 to {MAX_KEY_BYTES}", key.len());
         return Err(Problem::bad(400, "bad key", detail));
     }
-    // The body names the model, where there is one.
+    // The model, if any, is part of the body and so of the fingerprint.
     let fingerprint =
         fingerprint(&[req.method.as_str().as_bytes(), req.path.as_bytes(), &req.body]);
     Ok(Some(RunOnce { key: record_key(workspace, key), fingerprint }))
--- a/crates/daemon/src/entry/process/calls.rs
+++ b/crates/daemon/src/entry/process/calls.rs
@@ -1,4 +1,4 @@
-//! All calls of an entry to plain services: each gets one outcome, and runs again only where it may.
+//! Calls of an entry to plain services: each gets exactly one outcome and is retried only if that is allowed.
 
 use crate::entry::process::{
     FleetCell, InProgress, LedgerClient, Pipelines, RetryDesk, Timer, attempt_end, no_answer,
@@ -18,25 +18,25 @@
 use std::sync::{Arc, MutexGuard};
 use std::time::Instant;
 
-/// A call that was admitted.
+/// An admitted call.
 pub struct NewCall {
-    /// Its identity.
+    /// The key of the request.
     pub request: RequestKey,
-    /// Whose it is.
+    /// The workspace that sent it.
     pub workspace: WorkspaceId,
     /// The service.
     pub service: ServiceId,
-    /// What to send; endpoint and attempt are set with each try.
+    /// The message to send; endpoint and attempt are set for each attempt.
     pub call: CallRequest,
-    /// Whether it may run again.
+    /// Whether it may run more than once.
     pub idempotent: bool,
-    /// How it goes through the ledger, if it must.
+    /// The ledger key and fingerprint, if it must run at most once.
     pub once: Option<RunOnce>,
-    /// When the caller no longer needs it.
+    /// When the request times out.
     pub deadline: Instant,
 }
 
-/// All calls of an entry to plain services.
+/// Runs the calls of an entry to plain services.
 pub struct Calls<L> {
     pub(super) me: Peer,
     pub(super) link: Arc<L>,
@@ -54,7 +54,7 @@
 pub(super) type Run<'a> = MutexGuard<'a, CallRun>;
 
 impl<L: Link> Calls<L> {
-    /// Starts an admitted call: from here on it is answered once, through `responder`.
+    /// Starts an admitted call, which is answered exactly once, through `responder`.
     pub fn start(self: &Arc<Self>, new: NewCall, responder: Responder) {
         let sequence = new.request.sequence;
         self.cancel_when_gone(&responder, sequence);
@@ -94,7 +94,7 @@
         });
     }
 
-    /// Takes the end of an attempt.
+    /// Handles the end of an attempt.
     pub fn on_end(&self, request: RequestKey, attempt: Attempt, end: CallEnd) {
         let mine = request.entry == self.me.incarnation;
         let Some(run) = mine.then(|| self.runs.get(request.sequence)).flatten() else {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// A daemon can't be reached: what was sent there may have run.
+    /// Handles the loss of the link to a daemon: calls sent to it may have run.
     pub fn on_closed(&self, peer: SocketAddr) {
         for (_, run) in self.runs.all() {
             let mut run = run.lock().unwrap();
@@ -133,39 +133,39 @@
         }
     }
 
-    /// The deadline of a call passed.
+    /// Handles the expiry of a call's deadline.
     pub fn on_deadline(&self, sequence: Sequence) {
         let Some(run) = self.runs.get(sequence) else { return };
         let mut run = run.lock().unwrap();
         let detail = "the deadline passed before an answer came".to_owned();
         if run.keyed.is_some() {
-            return self.give_up_keyed(run, Refusal::Deadline, &detail);
+            return self.abandon_keyed(run, Refusal::Deadline, &detail);
         }
         let ended = no_answer(run.given());
         self.end_attempt(&mut run, ended);
         self.fail(run, Problem { status: 504, ..Unknown { detail }.into() });
     }
 
-    /// Nobody waits for a call any more.
+    /// Cancels a call whose caller went away.
     pub fn cancel(&self, sequence: Sequence) {
         let Some(run) = self.runs.get(sequence) else { return };
         self.counters.count(Count::CallersGone);
         let mut run = run.lock().unwrap();
         let detail = "the caller went away".to_owned();
         if run.keyed.is_some() {
-            return self.give_up_keyed(run, Refusal::Cancelled, &detail);
+            return self.abandon_keyed(run, Refusal::Cancelled, &detail);
         }
         self.end_attempt(&mut run, AttemptEnd::Neutral);
         self.fail(run, Unknown { detail }.into());
     }
 
-    /// Sends the call to the next endpoint, or answers `otherwise` if there is none.
+    /// Sends the call to the next endpoint, or answers with `otherwise` if there is none.
     fn try_next(&self, mut run: Run<'_>, mut otherwise: Problem) {
         while run.attempt() < self.max_attempts {
             let Some((endpoint, daemon, permit)) = self.next_attempt(&run) else { break };
             run.permit = Some(permit);
             let is_retry = run.attempt() > 0;
-            if is_retry && let Err(wait) = self.retries.pay(&run.workspace, &endpoint) {
+            if is_retry && let Err(wait) = self.retries.spend_retry(&run.workspace, &endpoint) {
                 otherwise.retry_after = Some(wait);
                 self.end_attempt_at(&mut run, &endpoint, daemon, AttemptEnd::Neutral);
                 break;
@@ -194,7 +194,7 @@
         self.retries.choose(&untried)
     }
 
-    /// Tells the breaker and the budget how the attempt in force ended.
+    /// Reports the end of the current attempt to the breaker and the retry budget.
     fn end_attempt(&self, run: &mut Run<'_>, end: AttemptEnd) {
         let (endpoint, daemon) = (run.sent.endpoint.clone(), run.daemon);
         self.end_attempt_at(run, &endpoint, daemon, end);
@@ -206,7 +206,7 @@
         }
     }
 
-    /// The next endpoint of a call with a key: one whose breaker isn't closed only if none else.
+    /// Returns the next endpoint of a call with a key. Endpoints whose breaker isn't closed are a last resort.
     pub(super) fn next_endpoint(&self, run: &CallRun) -> Option<(EndpointId, Peer)> {
         let view = self.fleet.view();
         let services = view.services(&run.service);
@@ -215,7 +215,7 @@
         first.map(|known| (known.fact.id.clone(), known.daemon))
     }
 
-    /// An attempt may have run, and its answer will not come.
+    /// Handles an attempt that may have run but whose answer is lost.
     fn lost(&self, mut run: Run<'_>, detail: String) {
         let unknown = Unknown { detail };
         run.doubt = Some(unknown.clone());
@@ -268,7 +268,7 @@
 
     fn end(&self, run: &Run<'_>, ended: Ended) {
         if self.runs.remove(run.request.sequence).is_some() {
-            self.in_progress.leave(run.request.sequence, ended);
+            self.in_progress.mark_ended(run.request.sequence, ended);
         }
     }
 }
--- a/crates/daemon/src/entry/process/entry.rs
+++ b/crates/daemon/src/entry/process/entry.rs
@@ -1,4 +1,4 @@
-//! An entry, from start to end.
+//! Start, drain and stop of an entry.
 
 use crate::entry::process::entry_handler::EntryLedger;
 use crate::entry::process::{
@@ -27,7 +27,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a drain looks whether the work has ended.
+/// How often a drain checks whether all requests have ended.
 const DRAIN_POLL: Duration = Duration::from_millis(5);
 
 /// A running entry.
@@ -39,7 +39,7 @@
 }
 
 impl Entry {
-    /// Starts the entry. It is ready once `/readyz` says so.
+    /// Starts the entry. It is ready once `/readyz` answers 200.
     pub fn start(settings: EntrySettings) -> Result<Entry> {
         let (parts, unserved) = DaemonParts::listen(
             DaemonRole::Entry,
@@ -95,7 +95,7 @@
         config.serve(unserved.config, link, Some(store));
         let list = HttpInstanceList::new(settings.platform).with_timeout(LIST_LIMIT);
         read_list(agent, list, true);
-        send_metrics(counters, settings.metrics).wrap_err("start of the metrics")?;
+        send_metrics(counters, settings.metrics).wrap_err("failed to start sending metrics")?;
         let server = start_server(&settings, &state, gate)?;
         let operators = start_operators(&settings, &state)?;
         spdlog::info!(
@@ -107,45 +107,46 @@
         Ok(Entry { state, server, operators, ready_grace: settings.ready_grace })
     }
 
-    /// This process among its peers.
+    /// Returns the address and incarnation of this process.
     pub fn peer(&self) -> Peer {
         self.state.me
     }
 
-    /// Where callers ask.
+    /// Returns the address of the callers' listener.
     pub fn callers(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Where operators ask, if they may.
+    /// Returns the address of the operators' listener, if there is one.
     pub fn operators(&self) -> Option<SocketAddr> {
         self.operators.as_ref().map(Server::addr)
     }
 
-    /// The value of a counter.
+    /// Returns the value of a counter.
     pub fn counter(&self, count: Count) -> u64 {
         self.state.counters.get(count)
     }
 
-    /// The configuration in force.
+    /// Returns the agent that holds the current configuration.
     pub fn config(&self) -> &Arc<ConfigAgent> {
         &self.state.config
     }
 
-    /// The members as this entry knows them.
+    /// Returns this entry's view of the fleet's members.
     pub fn members(&self) -> Arc<MembershipView> {
         self.state.agent.view()
     }
 
-    /// What tells the state of this entry.
+    /// Returns the state of this entry, for dumps.
     pub fn state(&self) -> Arc<EntryState> {
         self.state.clone()
     }
 
-    /// Leaves: first it is no longer ready, so that the balancer sends elsewhere; then it refuses
-    /// new work; when what runs has ended, it closes idle connections. False after `wait`.
+    /// Leaves the fleet: first fails `/readyz`, so that the load balancer sends elsewhere, then refuses
+    /// new requests, and closes idle connections when all running requests have ended. Returns false if
+    /// some still run after `wait`.
     pub fn drain(&self, wait: Duration) -> bool {
-        self.state.in_progress.announce();
+        self.state.in_progress.announce_leaving();
         self.state.agent.leave();
         thread::sleep(self.ready_grace);
         self.state.in_progress.drain();
@@ -161,7 +162,7 @@
         true
     }
 
-    /// Ends at once, as a killed process does.
+    /// Stops at once without draining, like a killed process.
     pub fn stop(&self) {
         self.server.abort();
         self.state.config.stop();
@@ -170,7 +171,7 @@
     }
 }
 
-/// What an entry knows; tells its state.
+/// Holds the shared components of an entry and dumps their state.
 pub struct EntryState {
     me: Peer,
     place: String,
@@ -259,7 +260,7 @@
     LedgerHolders::over_link(me.incarnation, store, link, cfg)
 }
 
-/// Calls back for calls that wait for the ledger.
+/// Starts the thread that handles timeouts of calls waiting for the ledger.
 fn start_waits(calls: &Arc<Calls<AnyLink>>) {
     let (waits, calls) = (calls.ledger.waits.clone(), calls.clone());
     waits.start(move |sequence| calls.on_wait_over(sequence));
@@ -332,11 +333,11 @@
         .with_header_timeout(settings.header_timeout)
         .with_body_timeout(settings.body_timeout)
         .with_refusals(listener_refusal);
-    Server::start(cfg, move |req| api.handle(req)).wrap_err("start of the callers' listener")
+    Server::start(cfg, move |req| api.handle(req)).wrap_err("failed to start the callers' listener")
 }
 
 fn start_operators(settings: &EntrySettings, state: &Arc<EntryState>) -> Result<Option<Server>> {
     let Some(addr) = settings.operators else { return Ok(None) };
     let server = listen_for_operators(addr, state.clone());
-    Ok(Some(server.wrap_err("start of the operators' listener")?))
+    Ok(Some(server.wrap_err("failed to start the operators' listener")?))
 }
--- a/crates/daemon/src/entry/process/entry_handler.rs
+++ b/crates/daemon/src/entry/process/entry_handler.rs
@@ -1,4 +1,4 @@
-//! Hands messages from other processes to the requests that they are for.
+//! Dispatches messages from other processes to the components that handle them.
 
 use crate::entry::process::{Calls, FleetCell, Gate, LimitDesk, Pipelines};
 use crate::process::leads::LeadDesk;
@@ -14,10 +14,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The shards of the ledger that an entry keeps.
+/// Holds the ledger shards kept by an entry.
 pub(super) type EntryLedger<L> = LedgerHolders<HttpObjectStore, LinkSink<L>>;
 
-/// Hands messages from other processes to the requests that they are for.
+/// Dispatches messages from other processes to the components that handle them.
 pub struct EntryHandler<L> {
     pub(super) me: Peer,
     pub(super) pipelines: Arc<Pipelines<L>>,
@@ -63,7 +63,7 @@
 
 impl<L: Link> LinkHandler for EntryHandler<L> {
     fn on_message(&self, from: Peer, to: Incarnation, message: Message) {
-        self.fleet.heard(from.addr);
+        self.fleet.on_contact(from.addr);
         if to != 0 && to != self.me.incarnation {
             return self.counters.count(Count::Misdirected);
         }
--- a/crates/daemon/src/entry/process/fleet_routes.rs
+++ b/crates/daemon/src/entry/process/fleet_routes.rs
@@ -1,30 +1,30 @@
-//! Routes and replacements for one pipeline, from the view of the fleet in force.
+//! Chooses routes and replacement hops for one pipeline from a view of the fleet.
 
 use crate::entry::version::FleetView;
 use sorrellock_core::request::{Candidate, Hop, Route, RouteSource, choose_route};
 use sorrellock_core::version::Pipeline;
 use std::sync::Arc;
 
-/// Routes and replacements for one pipeline.
+/// Chooses routes and replacement hops for one pipeline.
 pub struct FleetRoutes<'a> {
     view: Arc<FleetView>,
     pipeline: &'a Pipeline,
 }
 
 impl<'a> FleetRoutes<'a> {
-    /// Chooses among the engines of `view`.
+    /// Creates a source of routes over the engines of `view`.
     pub fn new(view: Arc<FleetView>, pipeline: &'a Pipeline) -> FleetRoutes<'a> {
         FleetRoutes { view, pipeline }
     }
 
     fn candidates(&self, without: &[Hop]) -> Vec<Candidate> {
         let mut candidates = self.view.engines(&self.pipeline.model);
-        let is_out = |candidate: &Candidate| {
+        let is_excluded = |candidate: &Candidate| {
             without.iter().any(|hop| {
                 hop.endpoint == candidate.endpoint || hop.daemon.addr == candidate.daemon.addr
             })
         };
-        candidates.retain(|candidate| !is_out(candidate));
+        candidates.retain(|candidate| !is_excluded(candidate));
         candidates
     }
 }
--- a/crates/daemon/src/entry/process/fleet_watch.rs
+++ b/crates/daemon/src/entry/process/fleet_watch.rs
@@ -1,4 +1,4 @@
-//! Keeps the view of the fleet by which an entry sends work.
+//! Holds the view of the fleet that an entry uses to choose daemons.
 
 use crate::entry::version::FleetView;
 use arc_swap::ArcSwap;
@@ -9,12 +9,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The longest time that a daemon is avoided without a word from it or on it.
-const AVOID_MOST: Duration = Duration::from_secs(10);
-/// The most daemons avoided.
+/// How long a daemon is avoided if no message comes from it; checked when the members change.
+const MAX_AVOID_TIME: Duration = Duration::from_secs(10);
+/// The maximum number of daemons avoided at a time.
 const MAX_AVOIDED: usize = 4096;
 
-/// The view of the fleet in force; readers never wait for a writer.
+/// Holds the current view of the fleet; readers never wait for a writer.
 #[derive(Default)]
 pub struct FleetCell {
     view: ArcSwap<FleetView>,
@@ -29,20 +29,21 @@
 }
 
 impl FleetCell {
-    /// The view in force.
+    /// Returns the current view.
     pub fn view(&self) -> Arc<FleetView> {
         self.view.load_full()
     }
 
-    /// Takes what membership knows.
+    /// Rebuilds the view from the current members and drops expired avoidances.
     pub fn set_members(&self, members: &Arc<MembershipView>) {
         let mut writer = self.writer.lock().unwrap();
         writer.members = Some(members.clone());
-        writer.avoided.retain(|_, since| since.elapsed() < AVOID_MOST);
+        writer.avoided.retain(|_, since| since.elapsed() < MAX_AVOID_TIME);
         self.renew(&writer);
     }
 
-    /// A link closed: gives its daemon no work until it is heard of. Tells whether that is new.
+    /// Avoids a daemon whose link closed until it sends a message or `MAX_AVOID_TIME` has passed: it counts
+    /// only where no other daemon has the same role. Returns whether it was not avoided before.
     pub fn avoid(&self, addr: SocketAddr) -> bool {
         let known = self.view().serves(addr);
         let mut writer = self.writer.lock().unwrap();
@@ -56,8 +57,8 @@
         true
     }
 
-    /// Something came straight from a daemon.
-    pub fn heard(&self, addr: SocketAddr) {
+    /// Ends the avoidance of a daemon that sent a message to this entry.
+    pub fn on_contact(&self, addr: SocketAddr) {
         if self.avoided_count.load(Ordering::Relaxed) == 0 {
             return;
         }
--- a/crates/daemon/src/entry/process/in_progress.rs
+++ b/crates/daemon/src/entry/process/in_progress.rs
@@ -1,4 +1,4 @@
-//! How much is in progress at this entry, and whether it takes more.
+//! Counts the requests in progress at this entry and decides whether more are admitted.
 
 use crossbeam::channel::{Receiver, Sender, bounded};
 use sorrellock_core::id::{Incarnation, Sequence};
@@ -7,39 +7,42 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// When to come back to a fleet one of whose entries leaves: another takes over at once.
+/// Retry delay for callers refused by a leaving entry: another entry takes over at once.
 const RETRY_AFTER_LEAVING: Duration = Duration::from_secs(1);
 
-/// A started request ended.
+/// Holds the outcome of a started request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Finished {
-    /// The request.
+    /// The sequence number of the request.
     pub sequence: Sequence,
-    /// How.
+    /// How it ended.
     pub ended: Ended,
 }
 
-/// How much is in progress at this entry, and whether it takes more.
+/// Counts the requests in progress at this entry and decides whether more are admitted.
 pub struct InProgress {
     incarnation: Incarnation,
     sequence: AtomicU64,
     count: AtomicUsize,
-    most: usize,
+    max_in_progress: usize,
     leaving: AtomicBool,
     draining: AtomicBool,
     finished: Sender<Finished>,
 }
 
 impl InProgress {
-    /// Nothing in progress, and `most` at a time; started requests that end come out at the
-    /// receiver, and count as in progress until they are taken there.
-    pub fn new(incarnation: Incarnation, most: usize) -> (InProgress, Receiver<Finished>) {
-        let (tx, rx) = bounded(most);
+    /// Creates a counter that admits `max_in_progress` requests at a time. Started requests that end are
+    /// sent to the receiver, and count as in progress until the receiver's owner releases them.
+    pub fn new(
+        incarnation: Incarnation,
+        max_in_progress: usize,
+    ) -> (InProgress, Receiver<Finished>) {
+        let (tx, rx) = bounded(max_in_progress);
         let in_progress = InProgress {
             incarnation,
             sequence: AtomicU64::new(0),
             count: AtomicUsize::new(0),
-            most,
+            max_in_progress,
             leaving: AtomicBool::new(false),
             draining: AtomicBool::new(false),
             finished: tx,
@@ -47,11 +50,11 @@
         (in_progress, rx)
     }
 
-    /// Admits a request, which must [`leave`](InProgress::leave) once it was started and ended, or have
-    /// [`left`](InProgress::left) if it never started.
+    /// Admits a request. Call [`mark_ended`](InProgress::mark_ended) when a started request ends, or
+    /// [`left`](InProgress::left) if it never starts.
     pub fn admit(&self) -> Result<RequestKey, NotRun> {
-        // Counted before the flag is read, as `drain` sets the flag before it reads the count: one of the two
-        // sees the other, and no request begins at an entry that has found none in progress.
+        // The count is raised before the flag is read, and a drain sets the flag before it reads the count.
+        // So one of the two sees the other, and no request starts after a drain has found none in progress.
         let before = self.count.fetch_add(1, Ordering::SeqCst);
         if self.is_draining() {
             self.left();
@@ -59,7 +62,7 @@
                 NotRun::never_sent(Refusal::Leaving, "this entry is leaving; send it again");
             return Err(refused.with_retry_after(RETRY_AFTER_LEAVING));
         }
-        if before >= self.most {
+        if before >= self.max_in_progress {
             self.left();
             let detail = format!("{before} requests are in progress at this entry, its most");
             return Err(NotRun::never_sent(Refusal::Capacity, detail));
@@ -68,37 +71,38 @@
         Ok(RequestKey { entry: self.incarnation, sequence })
     }
 
-    /// A started request has ended. Never blocks: there are no more of these than in progress.
-    pub fn leave(&self, sequence: Sequence, ended: Ended) {
+    /// Reports the end of a started request. Never blocks: the channel holds as many as can be in progress.
+    pub fn mark_ended(&self, sequence: Sequence, ended: Ended) {
         let _ = self.finished.send(Finished { sequence, ended });
     }
 
-    /// An admitted request is no longer in progress.
+    /// Removes an admitted request from the count.
     pub fn left(&self) {
         self.count.fetch_sub(1, Ordering::AcqRel);
     }
 
-    /// How many are in progress.
+    /// Returns the number of requests in progress.
     pub fn count(&self) -> usize {
         self.count.load(Ordering::SeqCst)
     }
 
-    /// Is no longer ready, so that the balancer sends no more; still takes what comes.
-    pub fn announce(&self) {
+    /// Marks the entry as leaving, so that `/readyz` fails and the load balancer sends elsewhere; requests
+    /// are still admitted.
+    pub fn announce_leaving(&self) {
         self.leaving.store(true, Ordering::Release);
     }
 
-    /// Whether this entry is on its way out.
+    /// Returns whether this entry is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Acquire)
     }
 
-    /// Takes no more.
+    /// Refuses new requests from now on.
     pub fn drain(&self) {
         self.draining.store(true, Ordering::SeqCst);
     }
 
-    /// Whether no more are taken.
+    /// Returns whether new requests are refused.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
--- a/crates/daemon/src/entry/process/keyed_calls.rs
+++ b/crates/daemon/src/entry/process/keyed_calls.rs
@@ -1,4 +1,4 @@
-//! Calls with a key: each goes through the run-once ledger before it is sent.
+//! Calls with an idempotency key: each is claimed in the run-once ledger before it is sent.
 
 use crate::entry::process::calls::Run;
 use crate::entry::process::{ARRIVAL_WAIT, ASK_WAIT, CLAIM_WAIT, Calls, RUN_WAIT};
@@ -15,14 +15,14 @@
 
 use crate::entry::request::CallRun;
 
-/// An answer that came for a record.
-pub(super) struct Came {
+/// Holds the end of a run received for a record.
+pub(super) struct ReceivedEnd {
     stamp: Stamp,
     end: CallEnd,
 }
 
 impl<L: Link> Calls<L> {
-    /// Takes a message of the ledger; false if it is for no call here.
+    /// Handles a ledger message; returns false if no call of this entry matches it.
     pub fn on_ledger(&self, message: &LedgerMessage) -> bool {
         let owner = match message {
             LedgerMessage::Answer { owner, .. }
@@ -46,7 +46,7 @@
         true
     }
 
-    /// Nothing came for a call for a while.
+    /// Handles the timeout of a call that waits for the ledger or its run.
     pub fn on_wait_over(&self, sequence: Sequence) {
         let Some(run) = self.runs.get(sequence) else { return };
         let mut locked = run.lock().unwrap();
@@ -58,7 +58,7 @@
         self.act(locked, step, None);
     }
 
-    /// A call with a key begins, or goes on after a refusal: chooses a daemon and claims the key.
+    /// Chooses a daemon for a call with a key and claims the key; used at the start and after a refusal.
     pub(super) fn choose_keyed(&self, mut run: Run<'_>) {
         let max_attempts = self.max_attempts;
         let next = match run.pipeline {
@@ -80,9 +80,9 @@
         self.act(run, step, None);
     }
 
-    /// The call is given up: not run where nothing can run of it, else unknown.
-    pub(super) fn give_up_keyed(&self, mut run: Run<'_>, refusal: Refusal, detail: &str) {
-        self.end_begun(&run, detail);
+    /// Abandons a call. The outcome is not-run if no part of it can run any more, else unknown.
+    pub(super) fn abandon_keyed(&self, mut run: Run<'_>, refusal: Refusal, detail: &str) {
+        self.end_granted(&run, detail);
         let Some(keyed) = &mut run.keyed else { return };
         match keyed.run.abandon(refusal, detail) {
             KeyedStep::Unknown(unknown) if refusal == Refusal::Deadline => {
@@ -92,8 +92,8 @@
         }
     }
 
-    /// A daemon can't be reached: a claim is sent again, once before its wait is over, and a run
-    /// that was sent is asked for.
+    /// Handles the loss of the link to a daemon: resends a claim, at most once before its timeout, and
+    /// queries the state of a run that was sent.
     pub(super) fn on_closed_keyed(&self, mut run: Run<'_>, peer: SocketAddr) {
         let Some(keyed) = &mut run.keyed else { return };
         let step = if keyed.run.is_claiming() && keyed.holder == Some(peer) {
@@ -120,30 +120,30 @@
         if let CallEnd::NotRun { .. } = end {
             return self.with_keyed(run, None, |run| run.on_refused(&stamp));
         }
-        self.with_keyed(run, Some(Came { stamp, end }), |run| run.on_end(&stamp));
+        self.with_keyed(run, Some(ReceivedEnd { stamp, end }), |run| run.on_end(&stamp));
     }
 
-    fn on_record_status(&self, run: &Mutex<CallRun>, stamp: Stamp, told: RecordStatus<CallEnd>) {
-        let came = match &told {
-            RecordStatus::Ended(end) => Some(Came { stamp, end: end.clone() }),
+    fn on_record_status(&self, run: &Mutex<CallRun>, stamp: Stamp, status: RecordStatus<CallEnd>) {
+        let received = match &status {
+            RecordStatus::Ended(end) => Some(ReceivedEnd { stamp, end: end.clone() }),
             _ => None,
         };
-        if told == RecordStatus::Running && self.begin_pipeline(run, &stamp) {
+        if status == RecordStatus::Running && self.begin_pipeline(run, &stamp) {
             return;
         }
-        self.with_keyed(run, came, |run| run.on_record_status(&stamp, &told));
+        self.with_keyed(run, received, |run| run.on_record_status(&stamp, &status));
     }
 
     fn with_keyed(
         &self,
         run: &Mutex<CallRun>,
-        came: Option<Came>,
+        received: Option<ReceivedEnd>,
         event: impl FnOnce(&mut KeyedRun) -> KeyedStep,
     ) {
         let mut run = run.lock().unwrap();
         let Some(keyed) = &mut run.keyed else { return };
         let step = event(&mut keyed.run);
-        self.act(run, step, came);
+        self.act(run, step, received);
     }
 
     pub(super) fn not_sent(&self, mut run: Run<'_>) {
@@ -152,7 +152,7 @@
         self.act(run, step, None);
     }
 
-    fn act(&self, run: Run<'_>, step: KeyedStep, came: Option<Came>) {
+    fn act(&self, run: Run<'_>, step: KeyedStep, received: Option<ReceivedEnd>) {
         match step {
             KeyedStep::Choose => self.choose_keyed(run),
             KeyedStep::Claim(claim) => self.send_claim(run, claim),
@@ -163,7 +163,7 @@
                 self.wait(run, if follows { RUN_WAIT } else { ASK_WAIT });
             }
             KeyedStep::Drop => self.counters.count(Count::LateAnswers),
-            KeyedStep::Finish => self.finish_keyed(run, came),
+            KeyedStep::Finish => self.finish_keyed(run, received),
             KeyedStep::Mismatch => {
                 self.counters.count(Count::KeyMismatches);
                 self.fail(run, Problem::key_mismatch());
@@ -196,8 +196,8 @@
     }
 
     fn send_ask(&self, mut run: Run<'_>, stamp: Stamp, target: Peer, fence: bool) {
-        let asked = self.ledger.ask(target, run.request, stamp, fence);
-        if asked.is_ok() {
+        let query_sent = self.ledger.ask(target, run.request, stamp, fence);
+        if query_sent.is_ok() {
             let wait = if fence { ASK_WAIT } else { ARRIVAL_WAIT };
             return self.wait(run, wait);
         }
@@ -206,7 +206,7 @@
         self.act(run, step, None);
     }
 
-    /// Asks again after `wait`, if there is still something to ask for then.
+    /// Schedules the next query or resend after `wait`; it is dropped if the call has ended by then.
     pub(super) fn wait(&self, mut run: Run<'_>, wait: Duration) {
         let sequence = run.request.sequence;
         if let Some(keyed) = &mut run.keyed {
@@ -214,8 +214,8 @@
         }
     }
 
-    fn finish_keyed(&self, run: Run<'_>, came: Option<Came>) {
-        let Some(Came { stamp, end }) = came else { return };
+    fn finish_keyed(&self, run: Run<'_>, received: Option<ReceivedEnd>) {
+        let Some(ReceivedEnd { stamp, end }) = received else { return };
         let own = run.keyed.as_ref().is_some_and(|keyed: &Keyed| keyed.run.is_own(&stamp));
         match end {
             CallEnd::Done { status, content_type, body } => {
--- a/crates/daemon/src/entry/process/keyed_pipelines.rs
+++ b/crates/daemon/src/entry/process/keyed_pipelines.rs
@@ -1,5 +1,5 @@
-//! Pipeline requests with a key: the record names the daemon of the first stage, and nothing is
-//! opened before that daemon counts the request as running.
+//! Pipeline requests with an idempotency key: the record names the daemon of the first stage, and no
+//! stage is opened before that daemon counts the request as running.
 
 use crate::entry::process::calls::Run;
 use crate::entry::process::{Calls, FleetRoutes, NewPipeline, RUN_WAIT};
@@ -38,7 +38,7 @@
         self.choose_keyed(run.lock().unwrap());
     }
 
-    /// Chooses a route whose first stage was not tried before.
+    /// Chooses a route that avoids the first stage of the previous one.
     pub(super) fn next_first_stage(&self, run: &mut Run<'_>) -> Option<(EndpointId, Peer)> {
         let run = &mut **run;
         let (new, route) = run.pipeline.as_mut()?;
@@ -48,7 +48,7 @@
         Some((first.endpoint.clone(), first.daemon))
     }
 
-    /// The record is granted: the daemon of the first stage is to count the request as running.
+    /// Asks the daemon of the first stage to count the request as running, after the record was granted.
     pub(super) fn send_begin(&self, run: Run<'_>, stamp: Stamp) {
         let message = LedgerMessage::Begin { owner: run.request, stamp };
         if self.ledger.send(run.daemon, message).is_err() {
@@ -57,16 +57,17 @@
         self.wait(run, RUN_WAIT);
     }
 
-    /// A pipeline request is given up before it began here: its daemon may count it as running.
-    pub(super) fn end_begun(&self, run: &CallRun, detail: &str) {
+    /// Ends the granted record of a pipeline request that is abandoned before it began at this entry: its
+    /// daemon may count it as running.
+    pub(super) fn end_granted(&self, run: &CallRun, detail: &str) {
         let granted = run.keyed.as_ref().and_then(|keyed| keyed.run.granted());
         let Some(stamp) = granted.filter(|_| run.pipeline.is_some()) else { return };
         let end = CallEnd::Unknown { detail: detail.to_owned() };
         let _ = self.ledger.send(run.daemon, LedgerMessage::Ended { stamp, end });
     }
 
-    /// The daemon counts the request as running: from here on its entry drives it as any other.
-    /// False if the record is not this request's own.
+    /// Begins a pipeline request that its daemon counts as running; from then on it is driven like one
+    /// without a key. Returns false if the record is not this request's own.
     pub(super) fn begin_pipeline(&self, run: &Mutex<CallRun>, stamp: &Stamp) -> bool {
         let mut run = run.lock().unwrap();
         let waits = |keyed: &Keyed| keyed.run.is_own(stamp) && keyed.run.target().is_some();
--- a/crates/daemon/src/entry/process/ledger_client.rs
+++ b/crates/daemon/src/entry/process/ledger_client.rs
@@ -1,4 +1,4 @@
-//! An entry's way to the run-once ledger: the holders of the shards, and the daemons of records.
+//! Client of the run-once ledger: sends to the holders of shards and to the daemons of records.
 
 use crate::entry::process::Timer;
 use crate::process::{Count, Counters, FleetAgent};
@@ -11,19 +11,20 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a claim waits for its answer before it is sent again.
+/// How long to wait for the answer to a claim before it is sent again.
 pub const CLAIM_WAIT: Duration = Duration::from_millis(300);
-/// How long a record's run may take to arrive before it is kept from starting.
+/// How long a run may take to arrive at its daemon before it is fenced, so that it can't start.
 pub const ARRIVAL_WAIT: Duration = Duration::from_millis(50);
-/// How long a run that was sent, or that is known to run, is waited for before it is asked for: its
-/// end may be lost on the way.
+/// How long to wait for the end of a run that was sent, or that is known to run, before its state is
+/// queried: the message with the end may be lost.
 pub const RUN_WAIT: Duration = Duration::from_secs(1);
-/// How long the question for a record waits for its answer before it is asked again.
+/// How long to wait for the answer to a query for a record before it is repeated.
 pub const ASK_WAIT: Duration = Duration::from_millis(250);
 
-/// Names the holder of a shard. Views of the fleet may differ: two holders of a shard are safe.
+/// Finds the holder of a shard. Views of the fleet may differ between entries: two holders of a shard are
+/// safe.
 pub trait HolderNames: Send + Sync + 'static {
-    /// The daemon that keeps a shard, if any is known.
+    /// Returns the daemon that holds a shard, if any is known.
     fn holder(&self, shard: Shard) -> Option<Peer>;
 }
 
@@ -36,7 +37,7 @@
     }
 }
 
-/// An entry's way to the run-once ledger.
+/// Sends messages of the run-once ledger and schedules timeouts for their answers.
 pub struct LedgerClient<L> {
     pub(super) link: Arc<L>,
     pub(super) names: Arc<FleetAgent>,
@@ -45,8 +46,8 @@
 }
 
 impl<L: Link> LedgerClient<L> {
-    /// Sends a claim to the holder of its shard, and tells who that is. A claim that can't be sent
-    /// is sent again after its wait.
+    /// Sends a claim to the holder of its shard and returns the holder. A claim that can't be sent is
+    /// retried after its timeout.
     pub fn claim(&self, claim: Claim) -> Option<Peer> {
         self.counters.count(Count::Claims);
         let holder = self.names.holder(shard_of(&claim.key, SHARDS))?;
@@ -54,7 +55,7 @@
         Some(holder)
     }
 
-    /// Asks a daemon for a record.
+    /// Queries a daemon for a record.
     pub fn ask(
         &self,
         target: Peer,
@@ -65,7 +66,7 @@
         self.send(target, LedgerMessage::Ask { owner, stamp, fence })
     }
 
-    /// Sends a message of the ledger.
+    /// Sends a ledger message.
     pub fn send(&self, to: Peer, message: LedgerMessage) -> Result<(), LinkError> {
         let sent = self.link.send(to, Message::Ledger(message));
         if sent.is_err() {
@@ -74,7 +75,7 @@
         sent
     }
 
-    /// Calls back for a request after `wait`; returns when that is.
+    /// Schedules a callback for a request after `wait` and returns its time.
     pub fn wait(&self, sequence: Sequence, wait: Duration) -> Instant {
         let at = Instant::now() + wait;
         self.waits.add(at, sequence);
--- a/crates/daemon/src/entry/process/mod.rs
+++ b/crates/daemon/src/entry/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as an entry.
+//! Components that exist for the lifetime of an entry.
 
 mod admission;
 mod api;
--- a/crates/daemon/src/entry/process/pipelines.rs
+++ b/crates/daemon/src/entry/process/pipelines.rs
@@ -1,4 +1,4 @@
-//! All pipeline requests of an entry: starts them, takes tokens, ends them.
+//! Pipeline requests of an entry: starts them, receives their tokens and ends them.
 
 use crate::entry::process::{FleetCell, FleetRoutes, InProgress, Timer};
 use crate::entry::request::{
@@ -19,25 +19,25 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
 
-/// A pipeline request that was admitted.
+/// An admitted pipeline request.
 pub struct NewPipeline {
-    /// Its identity.
+    /// The key of the request.
     pub request: RequestKey,
-    /// Whose it is.
+    /// The workspace that sent it.
     pub workspace: WorkspaceId,
-    /// What the caller asked.
+    /// The parsed request body.
     pub asked: CompletionRequest,
     /// The pipeline.
     pub pipeline: Pipeline,
-    /// When the caller no longer needs it.
+    /// When the request times out.
     pub deadline: Instant,
-    /// Its class.
+    /// The priority class.
     pub class: Class,
-    /// How it goes through the ledger, if it must.
+    /// The ledger key and fingerprint, if it must run at most once.
     pub once: Option<RunOnce>,
 }
 
-/// All pipeline requests of an entry.
+/// Runs the pipeline requests of an entry.
 pub struct Pipelines<L> {
     pub(super) me: Peer,
     pub(super) link: Arc<L>,
@@ -53,12 +53,12 @@
 pub(super) type Run<'a> = MutexGuard<'a, PipelineRun>;
 
 impl<L: Link> Pipelines<L> {
-    /// Starts an admitted request: from here on it is answered once, through `responder`.
+    /// Starts an admitted request, which is answered exactly once, through `responder`.
     pub fn start(self: &Arc<Self>, new: NewPipeline, responder: Responder) {
         let sequence = new.request.sequence;
         let routes = FleetRoutes::new(self.fleet.view(), &new.pipeline);
         let Some(route) = routes.route(&[]) else {
-            self.in_progress.leave(sequence, Ended::NotRun);
+            self.in_progress.mark_ended(sequence, Ended::NotRun);
             self.counters.count(Count::NotRun);
             let detail = format!("no engines hold all layers of {}", new.pipeline.model);
             return Problem::from(NotRun::never_sent(Refusal::Capacity, detail)).send(responder);
@@ -66,7 +66,7 @@
         self.begin(new, route, None, responder);
     }
 
-    /// Starts a request that may run, on a route; its record's daemon hears of its end.
+    /// Starts a request on a route. If it has a record, its end is reported to the record's daemon.
     pub fn begin(
         self: &Arc<Self>,
         new: NewPipeline,
@@ -85,13 +85,13 @@
         self.send_all(run.driver.open());
     }
 
-    /// Starts the thread that looks whether requests make progress.
+    /// Starts the thread that checks requests for stalls.
     pub fn watch(self: &Arc<Self>) {
         let pipelines = self.clone();
         self.checks.start(move |sequence| pipelines.on_check(sequence));
     }
 
-    /// Takes a token from a last stage.
+    /// Handles a token from a last stage.
     pub fn on_token(&self, out: &TokenOut) {
         let Some(run) = self.find(out.request) else {
             return self.counters.count(Count::LateAnswers);
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The deadline of a request passed.
+    /// Handles the expiry of a request's deadline.
     pub fn on_deadline(&self, sequence: Sequence) {
         let Some(run) = self.runs.get(sequence) else { return };
         let run = run.lock().unwrap();
@@ -184,7 +184,7 @@
         }
         if run.answer.push(&out.text).is_err() {
             self.counters.count(Count::CallersGone);
-            self.tell_unknown(&run, "the caller went away");
+            self.report_unknown(&run, "the caller went away");
             self.end(run);
         }
     }
@@ -194,7 +194,7 @@
         self.counters.count(Count::Done);
         let _ = run.answer.push(&out.text);
         run.answer.finish(out.end_of_text);
-        self.tell_done(&run, out.end_of_text);
+        self.report_done(&run, out.end_of_text);
         self.end(run);
     }
 
@@ -204,22 +204,22 @@
         }
         self.counters.count(Count::Unknown);
         run.answer.fail(&problem);
-        self.tell_unknown(&run, &problem.detail);
+        self.report_unknown(&run, &problem.detail);
         self.end(run);
     }
 
-    /// The daemon of its record keeps the whole answer for retries.
-    fn tell_done(&self, run: &PipelineRun, end_of_text: bool) {
+    /// Sends the complete answer to the daemon of the record, which keeps it for retries.
+    fn report_done(&self, run: &PipelineRun, end_of_text: bool) {
         let Some((content_type, body)) = run.answer.replay(end_of_text, run.stream) else { return };
         let content_type = Some(content_type.to_owned());
-        self.tell_end(run, CallEnd::Done { status: 200, content_type, body: body.into_bytes() });
+        self.report_end(run, CallEnd::Done { status: 200, content_type, body: body.into_bytes() });
     }
 
-    fn tell_unknown(&self, run: &PipelineRun, detail: &str) {
-        self.tell_end(run, CallEnd::Unknown { detail: detail.to_owned() });
+    fn report_unknown(&self, run: &PipelineRun, detail: &str) {
+        self.report_end(run, CallEnd::Unknown { detail: detail.to_owned() });
     }
 
-    fn tell_end(&self, run: &PipelineRun, end: CallEnd) {
+    fn report_end(&self, run: &PipelineRun, end: CallEnd) {
         let Some(RunRecord { stamp, daemon }) = run.record else { return };
         let message = Message::Ledger(LedgerMessage::Ended { stamp, end });
         if self.link.send(daemon, message).is_err() {
@@ -227,13 +227,13 @@
         }
     }
 
-    /// Frees what the request holds, here and at its stages.
+    /// Removes the request and closes its stages.
     fn end(&self, mut run: Run<'_>) {
         if self.runs.remove(run.request.sequence).is_none() {
             return;
         }
         let work = f64::from(run.prompt_len) + f64::from(run.driver.emitted());
-        self.in_progress.leave(run.request.sequence, Ended::Ran { work });
+        self.in_progress.mark_ended(run.request.sequence, Ended::Ran { work });
         self.send_all(run.driver.close());
     }
 
--- a/crates/daemon/src/entry/process/repairs.rs
+++ b/crates/daemon/src/entry/process/repairs.rs
@@ -1,4 +1,4 @@
-//! What the entry does when a pipeline request can't go on: the decisions are the driver's.
+//! Repairs of pipeline requests that can't continue: applies the decisions of the driver.
 
 use crate::entry::process::pipelines::Run;
 use crate::entry::process::{FleetRoutes, Pipelines};
@@ -12,15 +12,15 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How often a request without engines looks for some.
+/// How often a request without a route retries to find one.
 const ROUTE_RETRY: Duration = Duration::from_millis(50);
-/// How long a request without engines is held before it is given up.
+/// How long a request without a route is held before it is abandoned.
 const ROUTE_WAIT: Duration = Duration::from_secs(3);
-/// When to come back to a fleet without engines for a request.
+/// Retry delay for callers whose request found no engines.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl<L: Link> Pipelines<L> {
-    /// Takes what a stage can't go on with.
+    /// Handles a failure reported by a stage.
     pub fn on_trouble(
         &self,
         request: RequestKey,
@@ -39,7 +39,7 @@
         self.apply(run, repair, detail);
     }
 
-    /// A daemon can't be reached: requests that pass it take another route.
+    /// Handles the loss of the link to a daemon: reroutes requests with a stage there.
     pub fn on_closed(&self, peer: SocketAddr) {
         let view = self.fleet.view();
         for (_, run) in self.runs.all() {
@@ -50,14 +50,14 @@
         }
     }
 
-    /// Sends the sequence again from a position on, as the first stage asked.
+    /// Resends the sequence from a position on, as requested by the first stage.
     pub fn on_resend(&self, request: RequestKey, attempt: Attempt, from: Position) {
         let Some(run) = self.find(request) else { return };
         let step = run.lock().unwrap().driver.on_resend(attempt, from);
         self.send_all(step);
     }
 
-    /// A stage answered a probe.
+    /// Handles a stage's answer to a probe.
     pub fn on_progress(&self, request: RequestKey, attempt: Attempt, progress: &StageProgress) {
         let Some(run) = self.find(request) else { return };
         let mut run = run.lock().unwrap();
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Looks whether a request makes progress.
+    /// Checks whether a request makes progress.
     pub(super) fn on_check(&self, sequence: Sequence) {
         let Some(run) = self.runs.get(sequence) else { return };
         let mut run = run.lock().unwrap();
--- a/crates/daemon/src/entry/process/retry_desk.rs
+++ b/crates/daemon/src/entry/process/retry_desk.rs
@@ -1,4 +1,4 @@
-//! Which endpoint an attempt of a call may go to, and whether it may be made again.
+//! Chooses the endpoint for each attempt of a call and decides whether a retry is allowed.
 
 use crate::entry::version::KnownEndpoint;
 use crate::process::{Count, Counters, Journal};
@@ -11,13 +11,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// An endpoint that had less time than this to answer isn't to blame: else a workspace with short
-/// deadlines could open the breakers for all.
-const BLAME_LEAST: Duration = Duration::from_secs(1);
-/// How many endpoints whose breaker isn't closed a dump names.
-const DUMPED: usize = 64;
+/// An endpoint that had less time than this to answer doesn't count as failed: otherwise a workspace with
+/// short deadlines could open the breakers for all workspaces.
+const MIN_TIME_TO_BLAME: Duration = Duration::from_secs(1);
+/// The maximum number of endpoints whose breaker isn't closed in a dump.
+const MAX_DUMPED: usize = 64;
 
-/// Breakers and budgets of an entry's calls to plain services.
+/// Holds the circuit breakers and retry budgets for an entry's calls to plain services.
 pub struct RetryDesk {
     state: Mutex<State>,
     counters: Arc<Counters>,
@@ -30,14 +30,13 @@
 }
 
 impl RetryDesk {
-    /// Nothing was sent yet.
+    /// Creates closed breakers and unspent budgets.
     pub fn new(counters: Arc<Counters>, journal: Arc<Journal>) -> RetryDesk {
         let (breakers, budget) = (Breakers::new(SystemClock), RetryBudget::new(SystemClock));
         RetryDesk { state: Mutex::new(State { breakers, budget }), counters, journal }
     }
 
-    /// Chooses the first of `untried` whose breaker lets an attempt through, or the first of all
-    /// if none does.
+    /// Chooses the first of `untried` whose breaker admits an attempt, or the very first if none does.
     pub fn choose(&self, untried: &[&KnownEndpoint]) -> Option<(EndpointId, Peer, Permit)> {
         let breakers = &mut self.state.lock().unwrap().breakers;
         let admitted = untried.iter().find_map(|known| {
@@ -58,20 +57,24 @@
         Some((known.fact.id.clone(), known.daemon, permit))
     }
 
-    /// Whether an endpoint's breaker is closed.
+    /// Returns whether an endpoint's breaker is closed.
     pub fn is_closed(&self, endpoint: &EndpointId) -> bool {
         self.state.lock().unwrap().breakers.state(endpoint) == BreakerState::Closed
     }
 
-    /// Pays for a retry; else tells when to come back.
-    pub fn pay(&self, workspace: &WorkspaceId, endpoint: &EndpointId) -> Result<(), Duration> {
+    /// Spends a retry from the budget; on refusal, returns the delay after which to retry.
+    pub fn spend_retry(
+        &self,
+        workspace: &WorkspaceId,
+        endpoint: &EndpointId,
+    ) -> Result<(), Duration> {
         let paid = self.state.lock().unwrap().budget.spend(workspace, endpoint);
         let count = if paid.is_ok() { Count::Retries } else { Count::RetriesRefused };
         self.counters.count(count);
         paid
     }
 
-    /// Takes the end of an attempt, which went to an endpoint of `daemon`.
+    /// Handles the end of an attempt at an endpoint of `daemon`.
     pub fn on_end(
         &self,
         workspace: &WorkspaceId,
@@ -84,9 +87,9 @@
         if end == AttemptEnd::Success {
             state.budget.on_success(workspace, endpoint);
         }
-        let news = state.breakers.on_end(endpoint, permit, end);
+        let new_state = state.breakers.on_end(endpoint, permit, end);
         drop(state);
-        let Some(now) = news else { return };
+        let Some(now) = new_state else { return };
         let (count, what, cause) = match now {
             BreakerState::Closed => {
                 (Count::BreakersClosed, "breaker closed", format!("{endpoint} answers again"))
@@ -97,10 +100,10 @@
         self.journal.note(what, Some(daemon.addr), "end of an attempt", cause);
     }
 
-    /// The state, for a dump.
+    /// Returns the state, for a dump.
     pub fn dump(&self) -> Value {
         let state = self.state.lock().unwrap();
-        let not_closed: Vec<_> = state.breakers.not_closed().take(DUMPED).collect();
+        let not_closed: Vec<_> = state.breakers.not_closed().take(MAX_DUMPED).collect();
         let (workspaces, endpoints) = state.budget.counts();
         json!({
             "breakers": state.breakers.count(),
@@ -113,7 +116,7 @@
     }
 }
 
-/// What the end of a call tells of its endpoint, which had `given` to answer.
+/// Classifies the end of a call for the breaker of its endpoint, which had `given` to answer.
 pub fn attempt_end(end: &CallEnd, given: Duration) -> AttemptEnd {
     match end {
         CallEnd::Done { .. } => AttemptEnd::Success,
@@ -123,7 +126,7 @@
     }
 }
 
-/// What it tells of an endpoint that an answer did not come, for which there was `given`.
+/// Classifies a missing answer for the breaker of an endpoint that had `given` to answer.
 pub fn no_answer(given: Duration) -> AttemptEnd {
-    if given < BLAME_LEAST { AttemptEnd::Neutral } else { AttemptEnd::Failure }
+    if given < MIN_TIME_TO_BLAME { AttemptEnd::Neutral } else { AttemptEnd::Failure }
 }
--- a/crates/daemon/src/entry/process/settings.rs
+++ b/crates/daemon/src/entry/process/settings.rs
@@ -16,33 +16,34 @@
     pub callers: SocketAddr,
     /// Where to listen for other daemons.
     pub link: SocketAddr,
-    /// What carries messages to other daemons; the same in the whole fleet.
+    /// The transport for messages to other daemons; must be the same in the whole fleet.
     pub link_kind: LinkKind,
-    /// Where operators ask, if at all.
+    /// Where to listen for operators, if at all.
     pub operators: Option<SocketAddr>,
-    /// Where metrics go, if anywhere.
+    /// Where to send metrics, if anywhere.
     pub metrics: Option<SocketAddr>,
-    /// The platform's object API and list of instances.
+    /// Address of the platform's object API and list of instances.
     pub platform: SocketAddr,
-    /// The most requests in progress.
+    /// Maximum number of requests in progress.
     pub max_in_progress: usize,
-    /// The most connections of callers.
+    /// Maximum number of callers' connections.
     pub max_connections: usize,
-    /// The largest body taken, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// How long a head, or the first byte of one, may take to come.
+    /// How long a request head, or its first byte, may take to arrive.
     pub header_timeout: Duration,
-    /// How long a body may take to come.
+    /// How long a request body may take to arrive.
     pub body_timeout: Duration,
-    /// Threads that handle callers' requests.
+    /// Number of threads that handle callers' requests.
     pub workers: usize,
-    /// The most attempts of one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// How long an `Idempotency-Key` is remembered; all daemons take the same.
+    /// How long an `Idempotency-Key` is kept; must be the same for all daemons.
     pub key_retention: Duration,
-    /// How long a leaving entry still takes work after `/readyz` fails, until the balancer has seen it.
+    /// How long a leaving entry still admits requests after `/readyz` fails, so that the load balancer can
+    /// notice.
     pub ready_grace: Duration,
-    /// How orders to engines are planned where this daemon leads.
+    /// How orders to engines are planned while this daemon is lead.
     pub planner: PlannerConfig,
 }
 
@@ -64,7 +65,7 @@
     /// Default of `ready_grace`.
     pub const READY_GRACE: Duration = Duration::from_secs(2);
 
-    /// The defaults.
+    /// Creates settings with the defaults.
     pub fn new(
         place: impl Into<Place>,
         callers: SocketAddr,
@@ -92,25 +93,25 @@
         }
     }
 
-    /// Sets how long a leaving entry still takes work after `/readyz` fails.
+    /// Sets how long a leaving entry still admits requests after `/readyz` fails.
     pub fn with_ready_grace(mut self, ready_grace: Duration) -> EntrySettings {
         self.ready_grace = ready_grace;
         self
     }
 
-    /// Listens for operators.
+    /// Sets the address of the operators' listener.
     pub fn with_operators(mut self, addr: SocketAddr) -> EntrySettings {
         self.operators = Some(addr);
         self
     }
 
-    /// Takes another kind of link.
+    /// Sets the transport for messages to other daemons.
     pub fn with_link_kind(mut self, kind: LinkKind) -> EntrySettings {
         self.link_kind = kind;
         self
     }
 
-    /// Plans orders to engines so.
+    /// Sets how orders to engines are planned.
     pub fn with_planner(mut self, planner: PlannerConfig) -> EntrySettings {
         self.planner = planner;
         self
--- a/crates/daemon/src/entry/process/timer.rs
+++ b/crates/daemon/src/entry/process/timer.rs
@@ -1,4 +1,4 @@
-//! Deadlines: calls back for each request whose deadline passed.
+//! A timer that runs a callback for each request whose deadline passed.
 
 use sorrellock_core::id::Sequence;
 use std::cmp::Reverse;
@@ -7,11 +7,11 @@
 use std::thread;
 use std::time::Instant;
 
-/// Requests by deadline. It holds one entry a request, until its deadline.
+/// Holds requests ordered by deadline. Each added deadline stays queued until it passes.
 #[derive(Default)]
 pub struct Timer {
     queue: Mutex<BinaryHeap<Reverse<(Instant, Sequence)>>>,
-    sooner: Condvar,
+    first_changed: Condvar,
 }
 
 impl Timer {
@@ -21,7 +21,7 @@
         let first = queue.peek().is_none_or(|Reverse((first, _))| deadline < *first);
         queue.push(Reverse((deadline, sequence)));
         if first {
-            self.sooner.notify_one();
+            self.first_changed.notify_one();
         }
     }
 
@@ -51,9 +51,9 @@
                 }
                 Some(Reverse((deadline, _))) => {
                     let wait = *deadline - now;
-                    queue = self.sooner.wait_timeout(queue, wait).unwrap().0;
+                    queue = self.first_changed.wait_timeout(queue, wait).unwrap().0;
                 }
-                None => queue = self.sooner.wait(queue).unwrap(),
+                None => queue = self.first_changed.wait(queue).unwrap(),
             }
         }
     }
